--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,25 +1,27 @@
-//! Who of those that one router wants to send to a service starts now, who waits, who is refused.
+//! Admission of requests at one router: which start now, which wait and which are refused.
 //!
-//! Load pattern: callers want more than a service's upstreams can run, for a burst or for long. Sent on
-//! regardless, requests fill the upstreams' own queues until these turn callers away at random: three of
-//! four arrivals are wasted, the most urgent kind fares like the least, answers come after their callers
-//! stopped waiting, and prompts' shared parts are read anew wherever a place happens to be free.
+//! Load pattern: callers want more than a service's upstreams can run, in a burst or for long. If
+//! everything is sent on, requests fill the upstreams' own queues until the upstreams refuse
+//! callers at random: three of four arrivals are wasted, the most urgent class fares like the
+//! least urgent, answers arrive after their callers have given up, and shared prompt parts are
+//! prefilled again wherever a slot happens to be free.
 //!
-//! So each router runs no more than its part of the service's places (see `allowance`), and the rest
-//! waits here:
+//! So each router runs no more than its quota of the service's slots (see `allowance`), and the
+//! rest waits here:
 //!
-//! - By urgency first, then by account and work: see `classes`. An account at ten times its usual waits
-//!   behind itself.
-//! - For as long as the caller's time leaves room, as long as the queue is a burst. Once it has stood for
-//!   [`STANDING_MS`], only for as long as the answer could still be in time: otherwise all would be
-//!   late, each served after the wait of all before it (Maurer, "Fail at Scale", 2015, shortens the
-//!   wait of a standing queue in the same way).
-//! - Short requests queue at the upstreams too (see `allowance`). What that takes is taken off the wait here, in a burst as
-//!   well: given half of the objective here and half there, each of them is late, and so are those behind it.
-//! - Whoever can't start within that is refused at once, truly, and told when room is expected. Nobody
-//!   is refused while places are free that another router doesn't ask for.
+//! - Ordered by priority class, then by account and work (see `classes`), so that an account at
+//!   ten times its usual rate waits behind its own requests.
+//! - While the queue is a burst, for as long as the deadline allows. Once the queue has stood for
+//!   [`STANDING_MS`], only for as long as the answer can still meet its objective: otherwise all
+//!   answers would be late, each by the wait of all before it (Maurer, "Fail at Scale", 2015,
+//!   shortens the wait of a standing queue in the same way).
+//! - Short requests also queue at the upstreams (see `allowance`). That time is subtracted from
+//!   the wait here, also in a burst: with half of the objective spent here and half there, each
+//!   request would be late, and so would those behind it.
+//! - A request that can't start within that time is refused at once, with the time at which
+//!   capacity is expected. No request is refused while slots are free that no other router wants.
 //!
-//! Every request sends `charge` or `push` once and `pop` once: a scan over the flows that wait.
+//! Each request costs one `charge` or `push` and one `pop`: a scan over the waiting flows.
 
 use std::collections::HashMap;
 
@@ -30,23 +32,23 @@
 use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::decide::{Job, JobId, Priority, Rates};
 
-/// A queue that was never empty for this long isn't a burst: some times what a request takes.
+/// A queue that has not been empty for this long, a few times a request's duration, is no burst.
 pub const STANDING_MS: u64 = 1_000;
-/// Part of the objective that may pass in a standing queue; the rest is for the upstream to read the
-/// prompt and answer.
+/// Share of the objective that may pass in a standing queue; the rest is for prefill and answer at
+/// the upstream.
 const IN_TIME_SHARE: f64 = 0.5;
-/// Part of the time left that may pass in a burst's queue.
+/// Share of the remaining deadline that may pass in a burst's queue.
 const BURST_SHARE: f64 = 0.4;
-/// Requests that wait at most, each with its body: more than a router starts within a second.
+/// Most waiting requests, each of which holds its body: more than a router starts in a second.
 const MAX_WAITING: usize = 256;
-/// The shortest time to come back: less would only add load.
+/// Shortest retry time: anything less would only add load.
 const MIN_RETRY_MS: u64 = 100;
-/// Weight of the newest request in the running estimate of the pace.
+/// Weight of the newest request in the moving average of the time per work.
 const PACE_GAIN: f64 = 1.0 / 16.0;
-/// Part of that weight in what a request usually takes, if it took longer: a queue at the upstreams must
-/// not pass for longer requests.
+/// Factor on that weight in the typical duration if the request took longer than typical: queueing
+/// at the upstreams must not be mistaken for longer requests.
 const SLOW_PART: f64 = 0.25;
-/// Requests to see before the pace may refuse anybody.
+/// Samples needed before the time per work may cause a refusal.
 const PACE_SAMPLES: u32 = 8;
 
 /// How much of a service one router may use.
@@ -54,28 +56,28 @@
 pub struct Quota {
     /// Requests that it may run.
     pub allowed: u32,
-    /// The others leave places free: this router gets more of them as soon as it has told that it
-    /// wants them.
+    /// The other routers leave slots free: this router gets more of them once it has reported its
+    /// demand.
     pub has_spare: bool,
 }
 
-/// A request that asks to start.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Who, how urgent, how much.
+    /// Account, priority and cost.
     pub job: Job,
-    /// Time until its answer or a stream's first event that its caller wants kept.
+    /// Latency objective for the answer, or for a stream's first event.
     pub objective_ms: u64,
 }
 
-/// The answer to a request.
+/// The answer to a request for admission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Offer {
     /// Send it now.
     Start,
-    /// It waits; [`Admission::poll`] says how its wait ends.
+    /// It waits; [`Admission::poll`] returns the outcome.
     Wait,
-    /// Given up at once.
+    /// Refused at once.
     Refused(Refusal),
 }
 
@@ -84,7 +86,7 @@
 pub enum Ready {
     /// Send it now.
     Start(JobId),
-    /// Given up.
+    /// Refused.
     Refused(JobId, Refusal),
 }
 
@@ -94,14 +96,14 @@
     at_ms: u64,
 }
 
-/// Until when a request may wait.
+/// How long a request may wait, in a standing queue and in a burst.
 #[derive(Clone, Copy, Debug)]
 struct Patience {
     in_time_ms: u64,
     burst_ms: u64,
 }
 
-/// One service at one router.
+/// Admission state of one service at one router.
 #[derive(Debug, Default)]
 pub struct Admission {
     queue: ClassQueue,
@@ -109,17 +111,17 @@
     running: HashMap<JobId, Started>,
     pushed_out: Vec<JobId>,
     waiting_since_ms: Option<u64>,
-    /// Milliseconds of a place that a unit of work takes.
+    /// Slot time in milliseconds per unit of estimated work.
     pace: f64,
     paced: u32,
-    /// What a request usually takes.
+    /// Moving average of a request's duration.
     usual_ms: f64,
-    /// The shortest objective of all that asked.
+    /// Shortest objective of all requests so far.
     objective_ms: Option<u64>,
 }
 
 impl Admission {
-    /// Requests that run and wait: what the other routers are told.
+    /// Requests running and waiting, as reported to the other routers.
     ///
     /// ```
     /// use cassiagrade::decide::admission::Admission;
@@ -130,23 +132,23 @@
         u32::try_from(wanted).unwrap_or(u32::MAX)
     }
 
-    /// Requests that wait.
+    /// Requests waiting.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// How long a request usually takes, once enough were seen.
+    /// Returns a request's typical duration once there are enough samples.
     pub fn usual_ms(&self) -> Option<f64> {
         (self.paced >= PACE_SAMPLES).then_some(self.usual_ms)
     }
 
-    /// Requests for each place of the service that are worth sending; see `allowance`.
+    /// Returns how many requests per slot of the service are worth sending; see `allowance`.
     pub fn fill(&self) -> f64 {
         let objective_ms = self.objective_ms.unwrap_or(0) as f64;
         allowance::fill(self.usual_ms, objective_ms * IN_TIME_SHARE)
     }
 
-    /// Decides on a request that isn't known here yet.
+    /// Decides on a new request.
     pub fn offer<R: Rng>(
         &mut self,
         ask: AdmissionRequest,
@@ -181,7 +183,7 @@
         Offer::Wait
     }
 
-    /// The next request whose wait is over; call until `None`.
+    /// Returns the next request whose wait is over; call until `None`.
     pub fn poll<R: Rng>(&mut self, quota: Quota, now_ms: u64, rng: &mut R) -> Option<Ready> {
         let ready = self.next(quota, now_ms, rng);
         self.forget_empty_queue();
@@ -215,7 +217,7 @@
         Some(Ready::Start(next.job.id))
     }
 
-    /// A request ended, or its caller went.
+    /// Removes a request that ended or whose caller disconnected.
     pub fn finish(&mut self, id: JobId, now_ms: u64) {
         if let Some(started) = self.running.remove(&id) {
             self.learn_pace(started, now_ms);
@@ -244,8 +246,8 @@
         }
     }
 
-    /// How long an upstream takes for a request that queues there and then runs longer than usual; `None` where requests
-    /// don't queue there, or nothing was seen yet.
+    /// Returns how long a longer than typical request takes at an upstream, queueing included;
+    /// `None` if requests don't queue there or there are too few samples.
     fn upstream_ms(&self) -> Option<f64> {
         let queues_there = self.usual_ms().is_some_and(allowance::is_short);
         queues_there.then(|| (self.fill() + 1.0) * self.usual_ms)
@@ -265,18 +267,18 @@
         self.running.insert(id, Started { work_ms, at_ms });
     }
 
-    /// Whether the queue stands, and its requests may wait only while they could still be in time.
+    /// Whether the queue is standing, so that requests may wait only while they can be in time.
     fn must_be_in_time(&self, quota: Quota, now_ms: u64) -> bool {
         let since_ms = self.waiting_since_ms.unwrap_or(now_ms);
         !quota.has_spare && now_ms.saturating_sub(since_ms) >= STANDING_MS
     }
 
-    /// How long `job` would wait at the measured pace, with all places at work.
+    /// Returns how long `job` would wait with all slots of the quota busy.
     fn wait_ms(&self, job: &Job, quota: Quota) -> f64 {
         self.drain_ms(self.queue.work_before_ms(job), quota)
     }
 
-    /// How long this router's places take for `work_ms`; zero until enough was seen.
+    /// Returns how long the quota takes to drain `work_ms`; zero until there are enough samples.
     fn drain_ms(&self, work_ms: f64, quota: Quota) -> f64 {
         if self.paced < PACE_SAMPLES {
             return 0.0;
@@ -315,7 +317,7 @@
     }
 }
 
-/// The class of a request that `rank` kinds of request to its service go before.
+/// Returns the class of a request, given how many request types of its service have precedence.
 pub fn class(rank: u8) -> Priority {
     match rank {
         0 => Priority::Urgent,
@@ -324,7 +326,7 @@
     }
 }
 
-/// Work is used in proportion only: rates of any engine do.
+/// Only proportions of work matter here, so the rates of any engine will do.
 fn work_ms(job: &Job) -> f64 {
     job.cost.work_ms(&Rates::default())
 }
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -1,34 +1,36 @@
-//! How many of a service's places one router of a fleet may fill.
+//! How many of a service's slots one router of a fleet may fill.
 //!
-//! Load pattern: each of many routers sees a sliver of the traffic. A fixed part of the places leaves
-//! those of idle routers empty while busy ones turn callers away; no part at all lets routers together
-//! send a multiple of what the upstreams run. And with more routers than places, no router may be left
-//! without any.
+//! Load pattern: each of many routers receives a small part of the traffic. A fixed share of the
+//! slots leaves those of idle routers unused while busy ones refuse callers; without shares, the
+//! routers together send a multiple of what the upstreams can run. With more routers than slots,
+//! every router must still be able to send something.
 //!
-//! So the routers tell each other how many requests they run and have waiting, several times a second, and
-//! each computes its own part: what it wants while all together want less than there is, and a max-min
-//! fair part otherwise (Bertsekas and Gallager, "Data Networks", 6.5). A router that is no longer heard
-//! wants nothing. Fractions are rounded up, and every router may run one: the sum is above the places by
-//! less than one a router, which wait in the upstreams' own queues. A part costs a sort of the routers
-//! when the fleet wants too much, and an addition otherwise.
+//! The routers exchange their demand (requests running and queued) several times a second, and
+//! each computes its own share: its demand plus an equal part of the spare slots while the total
+//! demand is below the capacity, and a max-min fair share otherwise (Bertsekas and Gallager, "Data
+//! Networks", 6.5). A router whose reports stop counts as having no demand. Shares are rounded up
+//! and every router may run one request, so their sum exceeds the slots by less than one per
+//! router; the excess waits in the upstreams' own queues. The cost is one addition per router, and
+//! a sort of the routers when the total demand exceeds the slots.
 
 use crate::decide::admission::Quota;
 
-/// Part of the places that the routers fill. With all full, the next free place decides where a request
-/// goes instead of the parts of its prompt that are cached, and every upstream reads every part.
+/// Share of the slots that the routers fill. With all slots taken, requests go to whichever slot
+/// becomes free instead of to the cached parts of their prompts, and every upstream prefills
+/// every part.
 const FILL: f64 = 0.9;
-/// Most requests for each place, however short they are: upstreams queue a few, and turn the rest away.
+/// Most requests per slot, however short they are: upstreams queue a few and refuse the rest.
 const MAX_FILL: f64 = 3.0;
-/// Requests that take less are over before the routers have told one another of them.
+/// Requests shorter than this end before the routers have exchanged reports of them.
 const SHORT_MS: f64 = 200.0;
 
-/// Requests that the routers may have at a service for each place of its upstreams, where requests usually
+/// Returns how many requests per slot the routers may have at a service whose requests typically
 /// take `usual_ms` and may wait `wait_ms` at an upstream and still be in time.
 ///
-/// Load pattern: a small pool with short requests. In the time in which routers tell what they want, each
-/// place serves several of them; parted among routers whose callers come in clumps, places idle while
-/// callers wait for their router's part. So short requests queue at the upstreams, whose queue is everybody's, for
-/// as long as callers allow.
+/// Load pattern: a small pool with short requests. Between two demand reports each slot serves
+/// several requests; if the slots are split among routers whose callers arrive in bursts, slots
+/// idle while callers wait for the share of their router. So short requests queue at the
+/// upstreams, whose queues all routers share, for as long as the callers' objective allows.
 ///
 /// ```
 /// use cassiagrade::decide::allowance::fill;
@@ -42,19 +44,19 @@
     (1.0 + wait_ms / usual_ms.max(1.0)).min(MAX_FILL)
 }
 
-/// Whether requests that usually take `usual_ms` queue at the upstreams.
+/// Whether requests that typically take `usual_ms` queue at the upstreams.
 pub fn is_short(usual_ms: f64) -> bool {
     usual_ms < SHORT_MS
 }
 
-/// The room of a router that wants `own` of `places`, where each of the other routers wants `others`.
+/// Returns the quota of a router with demand `own` for `places`, given the demands of the others.
 ///
 /// ```
 /// use cassiagrade::decide::allowance::quota;
-/// // The others leave 80 places; this router may grow into its part of them at once.
+/// // The others leave 80 slots; this router may take its part of the spare ones at once.
 /// let calm = quota(100.0, 10, &[5, 5]);
 /// assert!(calm.has_spare && calm.allowed >= 30);
-/// // All want more than there is: a fair part, and what the smallest doesn't need.
+/// // Total demand exceeds the slots: a fair share, plus what the smallest doesn't need.
 /// let full = quota(100.0, 500, &[500, 10]);
 /// assert_eq!((full.allowed, full.has_spare), (45, false));
 /// ```
@@ -72,7 +74,7 @@
     }
 }
 
-/// The level up to which everybody's wish is met, for one who wants more than that.
+/// Returns the max-min fair level for a router that wants more than it.
 fn fair_part(places: f64, own: u32, others: &[u32]) -> f64 {
     let mut wishes: Vec<f64> = others.iter().map(|w| f64::from(*w)).collect();
     wishes.push(f64::from(own));
--- a/src/decide/classes.rs
+++ b/src/decide/classes.rs
@@ -1,30 +1,32 @@
-//! Jobs that wait, by class first and by account inside a class.
+//! Queue ordered by priority class, and within a class by account.
 //!
-//! Load pattern: an account at ten times its usual rate, beside others with work of every class. In one
-//! queue of accounts and classes (see `fair`) each account's least urgent work counts against the large
-//! account's most urgent: ten accounts with a little of each class take three quarters of the places from
-//! it, and a service's most urgent kind of request is refused more often than the next one.
+//! Load pattern: an account at ten times its usual rate, beside others with work of every class.
+//! In one queue over accounts and classes (see `fair`), each account's least urgent work competes
+//! with the large account's most urgent: ten accounts with a little work in each class take three
+//! quarters of the slots from it, and a service's most urgent requests are refused more often than
+//! the next class.
 //!
-//! So the classes are served first, by start-time fair queueing with weights that fall by fours: a class
-//! with little to do never waits for a lower one, and the lowest still gets a twentieth. Inside a class
-//! the accounts share by work. A decision costs a scan over the accounts that wait in one class.
+//! So the classes are served first, by start-time fair queueing with weights that fall by factors
+//! of four: a class with little work never waits for a lower one, and the lowest still gets a
+//! twentieth. Within a class the accounts share by work. A decision costs a scan over the accounts
+//! waiting in one class.
 
 use crate::decide::fair::{FairQueue, Waiting};
 use crate::decide::{Job, JobId, Priority};
 
-/// Classes, the most urgent first.
+/// Classes, most urgent first.
 const CLASSES: [Priority; 3] = [Priority::Urgent, Priority::Normal, Priority::Batch];
-/// Their shares while all have work.
+/// Weights of the classes while all have work.
 const WEIGHTS: [f64; 3] = [16.0, 4.0, 1.0];
 
 #[derive(Clone, Debug, Default)]
 struct Class {
-    /// Virtual time at which its next job starts.
+    /// Virtual time at which the next job of the class starts.
     next: f64,
     queue: FairQueue,
 }
 
-/// Jobs that wait for a place.
+/// Jobs waiting for a slot, by class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassQueue {
     classes: [Class; 3],
@@ -37,7 +39,7 @@
 }
 
 impl ClassQueue {
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     ///
     /// ```
     /// use cassiagrade::decide::classes::ClassQueue;
@@ -47,17 +49,17 @@
         self.classes.iter().map(|c| c.queue.len()).sum()
     }
 
-    /// Whether none waits.
+    /// Whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.classes.iter().all(|c| c.queue.is_empty())
     }
 
-    /// The work of those that wait, in engine milliseconds.
+    /// Work of the waiting jobs, in engine milliseconds.
     pub fn work_ms(&self) -> f64 {
         self.classes.iter().map(|c| c.queue.work_ms()).sum()
     }
 
-    /// Adds a job at the end of its account's in its class.
+    /// Appends a job to the queue of its account within its class.
     pub fn push(&mut self, job: Job, work_ms: f64, since_ms: u64) {
         let now = self.now;
         let class = &mut self.classes[place_of(job.priority)];
@@ -84,12 +86,12 @@
         Some(taken)
     }
 
-    /// Takes the youngest job of a class below `job`'s, or one of its own class whose account is further
-    /// ahead: a full queue pushes out the least urgent first.
+    /// Takes the newest job of a class below that of `job`, or of its own class if that job's
+    /// account is further ahead: a full queue evicts the least urgent work first.
     pub fn push_out(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
         let own = place_of(job.priority);
         for class in self.classes[own + 1..].iter_mut().rev() {
-            // Nobody of a lower class has a claim before this job.
+            // Any job of a lower class gives way, so it is compared with an empty account.
             let probe = Job {
                 account: "".into(),
                 ..job.clone()
@@ -101,8 +103,8 @@
         self.classes[own].queue.push_out(job, work_ms)
     }
 
-    /// The work in engine milliseconds that would start before `job`, were it pushed now: what waits before
-    /// it in its own class, and the shares that the other waiting classes take meanwhile.
+    /// Returns the work in engine milliseconds that would start before `job` if it were pushed
+    /// now: the work ahead of it in its class, and the shares of the other classes meanwhile.
     pub fn work_before_ms(&self, job: &Job) -> f64 {
         let at = place_of(job.priority);
         let own_ms = self.classes[at].queue.work_before_ms(job);
@@ -114,12 +116,12 @@
         own_ms + taken.sum::<f64>()
     }
 
-    /// Takes a job that is no longer wanted.
+    /// Removes a job that is no longer wanted.
     pub fn remove(&mut self, id: JobId) -> Option<Waiting> {
         self.classes.iter_mut().find_map(|c| c.queue.remove(id))
     }
 
-    /// Takes one job for which `is_lost` holds.
+    /// Takes one job that matches `is_lost`.
     pub fn take_lost(&mut self, is_lost: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let mut classes = self.classes.iter_mut();
         classes.find_map(|c| c.queue.take_lost(&is_lost))
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -1,24 +1,26 @@
-//! How much new work an upstream gets while it is cold: it has just started, or must warm up again.
+//! Limits new work for a cold upstream: one that has just started, or must warm up again.
 //!
-//! Load pattern: an upstream starts with nothing running, and every router finds that it has the least. All send there
-//! at once; cold, it bears some requests a second, and crashes of more. It starts again, cold, with nothing running, and
-//! is sent the same herd: it never comes back. No router sees that rate, as each sends a sliver of it.
+//! Load pattern: an upstream starts with nothing running, so every router sees it as the least
+//! loaded one and sends to it. A cold upstream can handle only some requests a second and crashes
+//! under more; it restarts cold and idle, gets the same burst, and never recovers. No router can
+//! observe that rate, because each sends only a small part of it.
 //!
-//! So few routers send to a cold upstream at all: the first of its own order of all hosts (highest random weight, alike
-//! on every router), each one request at a time with a pause. What they send together stays below what it bears,
-//! and nothing need be asked or told. Hosts that are down stay in the order: where views of the fleet differ, as
-//! in a partition, the senders are still about the same, and some of the work that an upstream could bear for these few
-//! seconds is left unused. A router that doesn't know the fleet yet sends nothing.
+//! So only a few routers send to a cold upstream: the first of the upstream's own order of all
+//! hosts (highest random weight, the same on every router), each one request at a time with a
+//! pause. Their total stays below the upstream's cold capacity without any coordination. Hosts that
+//! are down stay in the order: if views of the fleet differ, as in a partition, the senders are
+//! still about the same, and some capacity is left unused for these few seconds. A router that
+//! doesn't know the fleet yet sends nothing.
 
 use std::collections::HashMap;
 
 use crate::util::{self, Name};
 
-/// Part of what a cold upstream bears that the fleet sends: the rest is for routers that don't know yet that it is
-/// cold, or whose view of the fleet differs.
+/// Share of a cold upstream's capacity that the fleet uses: the rest covers routers that don't know
+/// yet that it is cold, or whose view of the fleet differs.
 pub const FLEET_SHARE: f64 = 0.75;
 
-/// The upstreams that are cold, as one router knows them.
+/// The cold upstreams known to one router.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStarts {
     cold: HashMap<Name, Cold>,
@@ -28,14 +30,14 @@
 struct Cold {
     service: Name,
     until_ms: u64,
-    /// Pause between two requests of this router; `None` while it isn't one of those that send.
+    /// Pause between two requests of this router; `None` if it isn't one of the senders.
     pause_ms: Option<u64>,
-    /// When this router may send the next.
+    /// Earliest time of this router's next request.
     next_ms: u64,
 }
 
 impl ColdStarts {
-    /// An upstream of `service` says that it stays cold for `remaining_ms`; zero ends it.
+    /// Records that an upstream of `service` stays cold for `remaining_ms`; zero ends it.
     pub fn reported(&mut self, upstream: &Name, service: &Name, remaining_ms: u64, now_ms: u64) {
         if remaining_ms == 0 {
             self.cold.remove(upstream);
@@ -52,8 +54,9 @@
         cold.until_ms = until_ms;
     }
 
-    /// Settles to which upstreams `host` may send, as one of `hosts`; `per_s` is how many requests a second a cold
-    /// upstream of a service bears, if the service says. Costs a hash a host for each cold upstream.
+    /// Determines the cold upstreams that `host` may send to, as one of `hosts`; `per_s` returns
+    /// the requests a second that a cold upstream of a service can handle, if configured. Costs a
+    /// hash per host for each cold upstream.
     pub fn assign(
         &mut self,
         host: &str,
@@ -99,7 +102,7 @@
         is_over || (cold.pause_ms.is_some() && cold.next_ms <= now_ms)
     }
 
-    /// A request is sent to `upstream`.
+    /// Records that a request is sent to `upstream`.
     pub fn sent(&mut self, upstream: &str, now_ms: u64) {
         if let Some(cold) = self.cold.get_mut(upstream)
             && let Some(pause_ms) = cold.pause_ms
@@ -109,7 +112,7 @@
     }
 }
 
-/// How many of `hosts` come before `host` in the order of `upstream`.
+/// Returns how many of `hosts` precede `host` in the order of `upstream`.
 fn rank(upstream: &str, host: &str, hosts: &[Name]) -> usize {
     let seed = util::hash_bytes(upstream.as_bytes());
     let weight = |host: &str| util::mix(seed, util::hash_bytes(host.as_bytes()));
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -1,37 +1,38 @@
-//! How many calls a plain service gets at once.
+//! Adaptive limit of concurrent calls to a plain service.
 //!
-//! Load pattern: a plain service reports no load, and its capacity changes with its own back
-//! ends. A fixed limit is either too low on a good day or lets a slow service collect calls until
-//! each of them times out.
+//! Load pattern: a plain service reports no load, and its capacity varies with its own back ends. A
+//! fixed limit is either too low when the service is fast, or lets a slow service accumulate calls
+//! until each of them times out.
 //!
-//! The control law is additive increase, multiplicative decrease, on the calls' own latency: of
-//! the laws weighed (gradient, Vegas, AIMD) it is the one that converges to fair shares when two
-//! homes exist for some seconds (Chiu and Jain, 1989), and it needs no noise-free minimum. The
-//! limit never falls under a floor, so that look-ups still go through at once, and grows only
-//! while it is used. A sample costs a few additions.
+//! The control law is additive increase, multiplicative decrease on call latency. Compared with
+//! gradient and Vegas, AIMD converges to fair shares when two homes exist for some seconds (Chiu
+//! and Jain, 1989), and it needs no noise-free minimum. The limit never falls below a floor, so that
+//! look-ups still go through at once, and grows only while it is used. A sample costs a few
+//! additions.
 
-/// The limit never falls below this: the counter must never stall.
+/// Lowest limit, so that a service always makes progress.
 pub const FLOOR: f64 = 4.0;
-/// The limit of a service nobody has called yet.
+/// Initial limit of a service.
 const START: f64 = 16.0;
-/// No upstream gets more.
+/// Highest limit of an upstream.
 const CEILING: f64 = 512.0;
-/// Kept of the limit when calls are slow or fail. Halving empties short queues, but costs a small service half of its
-/// throughput each time.
+/// Factor on the limit when calls are slow or fail. Halving would empty short queues, but cost a
+/// small service half of its throughput each time.
 const DECREASE: f64 = 0.8;
-/// Times the usual latency that count as slow.
+/// Multiple of the usual latency that counts as slow.
 const SLOW_FACTOR: f64 = 2.0;
-/// Latencies under this are never slow: it is within the noise of one scheduler's turn.
+/// Latencies below this are never slow: they are within scheduling noise.
 const NOISE_MS: f64 = 5.0;
-/// Weight of a window that is quicker than usual.
+/// Weight of a window faster than the moving average.
 const QUICK_GAIN: f64 = 1.0 / 16.0;
-/// Weight of one that is slower. It must be small, or the usual latency follows a service that loses its capacity
-/// before the limit does. It isn't zero, so that a service that is slower for good leaves the floor again.
+/// Weight of a window slower than the moving average. It must be small, or the average follows a
+/// service that loses capacity before the limit does. It isn't zero, so that the limit of a service
+/// that stays slower leaves the floor again.
 const SLOW_GAIN: f64 = 1.0 / 256.0;
-/// Calls that make up a window.
+/// Calls per window.
 const WINDOW: u32 = 16;
 
-/// The adaptive limit of one plain upstream.
+/// Adaptive concurrency limit of one plain upstream.
 #[derive(Clone, Debug)]
 pub struct Concurrency {
     limit: f64,
@@ -56,7 +57,7 @@
 }
 
 impl Concurrency {
-    /// Calls that may be out at once.
+    /// Returns how many calls may be in flight.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -66,7 +67,7 @@
         self.limit as u32
     }
 
-    /// A call ended after `took_ms`, when `in_flight` calls were out.
+    /// Records a call that ended after `took_ms`, with `in_flight` calls in flight.
     ///
     /// ```
     /// use cassiagrade::decide::concurrency::Concurrency;
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -1,37 +1,38 @@
 //! How many connections one router of a fleet may have open to an upstream.
 //!
-//! Load pattern: an upstream takes so many connections from all routers together and resets what
-//! comes beyond. Requests that may run once go over fresh connections, which are then kept for
-//! others; at a burst of them each router keeps what it may, the upstream is full of idle
-//! connections, and it resets just those that carry requests. Nobody can say of such a request that
-//! it didn't run: its caller gets no answer worth having, while the upstream has nothing to do.
+//! Load pattern: an upstream accepts a limited number of connections from all routers together and
+//! resets any beyond that. Requests that may run only once use fresh connections, which are then
+//! kept for others. After a burst of them each router keeps as many as it may, idle connections
+//! fill the upstream, and it resets just those that carry requests. Whether such a request ran is
+//! unknown, so its caller gets no useful answer although the upstream is idle.
 //!
-//! So each router takes an equal part of what the upstream takes, and keeps a part of that idle. A
-//! router that would need more sends elsewhere, or refuses truly: nothing of the request left. A
+//! So each router takes an equal share of the upstream's connections and keeps a part of it idle. A
+//! router that needs more sends elsewhere, or refuses the request, none of which was sent. A
 //! decision costs two multiplications.
 
-/// Share of an upstream's connections that the fleet takes: the rest is for those that close slowly, for
-/// routers that not all know of yet, and for an upstream that takes fewer while its queue is long.
+/// Share of an upstream's connections that the fleet uses: the rest covers connections that close
+/// slowly, routers that not all others know yet, and an upstream that accepts fewer while its queue
+/// is long.
 pub const FLEET_SHARE: f64 = 0.8;
-/// Part of a router's share that may be idle: a connection is taken again within some hundred
-/// milliseconds or hardly at all.
+/// Share of a router's connections that may be idle: a connection is reused within a few hundred
+/// milliseconds or hardly ever.
 const IDLE_SHARE: f64 = 0.25;
-/// A router may always have these: one that runs a long answer must not shut out all others.
+/// Minimum per router: one long answer must not block all other requests.
 const MIN_OPEN: u32 = 2;
-/// Kept at most, however many an upstream takes: more than a burst leaves behind is never used.
+/// Most idle connections, however many an upstream accepts: more than a burst leaves is never used.
 const MAX_IDLE: u32 = 16;
 
-/// One router's share.
+/// One router's share of an upstream's connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ConnectionQuota {
-    /// In use and idle together.
+    /// Connections in use and idle together.
     pub open: u32,
-    /// Idle.
+    /// Idle connections.
     pub idle: u32,
 }
 
-/// The share of one of `routers`, where an upstream takes `max_connections` of all; without a limit if
-/// it doesn't say.
+/// Returns the share of one of `routers` in an upstream's `max_connections`; without a limit if the
+/// upstream has none.
 ///
 /// ```
 /// use cassiagrade::decide::connections::quota;
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -1,41 +1,40 @@
-//! Which upstreams get no work for a while because they fail or are slow beside their pool.
+//! Ejection of upstreams that fail or are slow compared with their pool.
 //!
-//! Load pattern: one upstream of a pool answers with errors or takes many times as long. By load
-//! alone it looks idle, since it fails fast, and draws the pool's work to itself. Ejecting by an
-//! absolute threshold instead would eject a whole pool that is slow for a common reason, and its
-//! load would fall on nothing.
+//! Load pattern: one upstream of a pool answers with errors or takes many times as long. Because it
+//! fails fast, it looks idle by load and attracts the pool's work. An absolute threshold would
+//! instead eject a whole pool that is slow for a common reason, and leave nothing to take its load.
 //!
-//! So an upstream is compared with its pool: it must fail in a row, or be slower than
-//! [`SLOW_FACTOR`] times the pool's median, and at most a share of the pool is out at once. It is
-//! probed back by one request after a hold that doubles with each ejection in a row; a flapping
-//! engine so waits out a growing hold. Recording costs one table access; an ejection costs a
-//! sort of the pool's times.
+//! So an upstream is compared with its pool: it must fail several times in a row, or be slower than
+//! [`SLOW_FACTOR`] times the pool's median, and at most a share of the pool is ejected at once. One
+//! request probes it after an ejection time that doubles with each consecutive ejection, so that a
+//! flapping engine is left out for longer and longer. Recording costs one table access; an ejection
+//! costs a sort of the pool's times.
 
 use std::collections::HashMap;
 
 use crate::decide::Name;
 
-/// Failures in a row that eject: one may be chance, two a restart.
+/// Consecutive failures that eject: one may be chance, two a restart.
 pub const FAILURES: u32 = 3;
-/// Times the pool's median time to a first frame that count as slow. Queueing alone stays below
-/// two at the bound on work.
+/// Multiple of the pool's median time to a first frame that counts as slow. Queueing alone stays
+/// below two at the bound on work.
 pub const SLOW_FACTOR: f64 = 4.0;
-/// A mean below this is never called slow: no caller notices. In a healthy pool first frames take a millisecond, and a few
-/// KV caches moved to an engine are many times that.
+/// A mean below this is never slow: no caller notices. In a healthy pool first frames take a
+/// millisecond, and moving a few KV caches to an engine takes many times that.
 pub const SLOW_FLOOR_MS: f64 = 200.0;
-/// Answers to see of an upstream before it is called slow.
+/// Answers needed from an upstream before it can count as slow.
 const SLOW_SAMPLES: u32 = 8;
-/// Upstreams with samples that a comparison needs.
+/// Upstreams with enough samples that a comparison needs.
 const MIN_COMPARED: usize = 3;
-/// Weight of the newest time in an upstream's running mean.
+/// Weight of the newest time in an upstream's moving average.
 const GAIN: f64 = 0.2;
-/// The first hold. Longer than a process restart, shorter than the platform list's lag.
+/// First ejection time. Longer than a process restart, shorter than the lag of the platform's list.
 pub const EJECTION_MS: u64 = 3_000;
-/// The longest hold.
+/// Longest ejection time.
 pub const MAX_EJECTION_MS: u64 = 60_000;
-/// A probe that isn't answered within this gives way to another.
+/// A probe that isn't answered within this time is replaced by another.
 const PROBE_MS: u64 = 5_000;
-/// Share of a pool that may be out at once, unless the policy says otherwise; one always may.
+/// Share of a pool that may be ejected at once by default; one upstream always may.
 pub const DEFAULT_SHARE: f64 = 0.34;
 
 #[derive(Clone, Debug, Default)]
@@ -44,7 +43,7 @@
     mean_ms: f64,
     samples: u32,
     out: Option<Out>,
-    /// Ejections since it last stayed in for a whole hold.
+    /// Ejections since it last stayed in the pool for a whole ejection time.
     ejections: u32,
     back_ms: u64,
 }
@@ -55,26 +54,26 @@
     probed_ms: Option<u64>,
 }
 
-/// What one router has seen of a pool's upstreams.
+/// Health of a pool's upstreams as observed by one router.
 #[derive(Clone, Debug, Default)]
 pub struct Ejector {
     stats: HashMap<Name, Stats>,
 }
 
-/// What a record changed.
+/// Effect of an observation on an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// The upstream is out now.
+    /// The upstream was ejected.
     Ejected,
-    /// The upstream is back.
+    /// The upstream was restored.
     Restored,
 }
 
 impl Ejector {
-    /// Whether `upstream` takes work now. After its hold, one request a while goes through as a
-    /// probe: calling this claims it.
+    /// Whether `upstream` takes work now. After its ejection time, one request per probe interval
+    /// is admitted as a probe: calling this claims it.
     pub fn admits(&mut self, upstream: &str, now_ms: u64) -> bool {
         let Some(stats) = self.stats.get_mut(upstream) else {
             return true;
@@ -92,7 +91,7 @@
         true
     }
 
-    /// Whether `upstream` is out, without claiming a probe.
+    /// Whether `upstream` is ejected, without claiming a probe.
     pub fn is_out(&self, upstream: &str, now_ms: u64) -> bool {
         let out = self.stats.get(upstream).and_then(|s| s.out);
         out.is_some_and(|o| {
@@ -100,13 +99,13 @@
         })
     }
 
-    /// Whether a probe of `upstream` is on its way.
+    /// Whether a probe of `upstream` is in flight.
     pub fn is_probed(&self, upstream: &str) -> bool {
         let out = self.stats.get(upstream).and_then(|s| s.out);
         out.is_some_and(|o| o.probed_ms.is_some())
     }
 
-    /// `upstream` answered with its first frame after `took_ms`.
+    /// Records that `upstream` answered with its first frame after `took_ms`.
     ///
     /// ```
     /// use cassiagrade::decide::{Name, ejection::{Change, Ejector, FAILURES}};
@@ -132,7 +131,7 @@
     ) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
         if stats.out.is_some_and(|out| out.probed_ms.is_none()) {
-            // It was sent before the ejection: no proof that new ones would fare better.
+            // Sent before the ejection, so it doesn't show that new requests would succeed.
             return Change::None;
         }
         stats.failures = 0;
@@ -154,7 +153,7 @@
         Change::None
     }
 
-    /// `upstream` failed before its first frame.
+    /// Records that `upstream` failed before its first frame.
     pub fn failed(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
         stats.failures += 1;
@@ -164,7 +163,7 @@
         Change::None
     }
 
-    /// `upstream` fails a share of its requests that its pool doesn't.
+    /// Ejects `upstream`, which fails a larger share of its requests than its pool.
     pub fn grey(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
         if stats.out.is_some() {
@@ -173,13 +172,14 @@
         self.eject(upstream, pool, share, now_ms)
     }
 
-    /// Failures in a row and mean time to a first frame of `upstream`, in milliseconds.
+    /// Returns the consecutive failures of `upstream` and its mean time to a first frame, in
+    /// milliseconds.
     pub fn grounds(&self, upstream: &str) -> (u32, f64) {
         let stats = self.stats.get(upstream);
         stats.map_or((0, 0.0), |s| (s.failures, s.mean_ms))
     }
 
-    /// Forgets upstreams that `keep` doesn't hold for.
+    /// Keeps only the upstreams for which `keep` is true.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.stats.retain(|name, _| keep(name));
     }
@@ -208,7 +208,7 @@
         };
         let out = pool.iter().filter(is_out).count();
         let most = ((pool.len() as f64 * share) as usize).max(1);
-        // The last one that takes work always stays.
+        // The last upstream that takes work always stays.
         if out >= most || out + 1 >= pool.len().max(1) {
             return Change::None;
         }
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -1,15 +1,15 @@
-//! A weighted fair queue over client accounts and priority classes.
+//! Weighted fair queue over client accounts and priority classes.
 //!
-//! Load pattern: one account sends ten times its usual rate, or long jobs stand before short
-//! ones. In a first-in-first-out queue everybody then waits behind the surge.
+//! Load pattern: one account sends ten times its usual rate, or long jobs precede short ones. In a
+//! first-in-first-out queue all other requests then wait behind the surge.
 //!
-//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) on estimated work: each flow, an account
-//! in a class, has a virtual time that grows by work over weight as its jobs start, and the flow
-//! that lags most goes next. Two backlogged flows differ by at most one job's work over weight
-//! each. Classes weigh in by factors of four, so the lowest class still gets its share.
-//! Within one flow, a short job passes longer ones, at most [`PASS_LIMIT`] times each.
+//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) on estimated work: each flow, an account in
+//! a class, has a virtual time that grows by work over weight as its jobs start, and the flow with
+//! the lowest virtual time goes next. Two backlogged flows differ by at most one job's work over
+//! weight each. Class weights differ by factors of four, so the lowest class still gets its share.
+//! Within a flow, a short job passes longer ones, each at most [`PASS_LIMIT`] times.
 //!
-//! One decision costs a scan over the flows that wait, at most the queue's limit.
+//! A decision costs a scan over the waiting flows, at most the queue's limit.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,17 +18,17 @@
 
 /// How often a job may be passed by shorter ones of its own flow.
 pub const PASS_LIMIT: u32 = 4;
-/// Flows with nothing waiting whose virtual time has been passed are swept beyond this count.
+/// Number of flows beyond which empty flows with a past virtual time are removed.
 const SWEEP_FLOWS: usize = 64;
 
-/// A job that waits, with its estimated work.
+/// A waiting job with its estimated work.
 #[derive(Clone, Debug)]
 pub struct Waiting {
     /// The job.
     pub job: Job,
     /// Its work in engine milliseconds.
     pub work_ms: f64,
-    /// When it began to wait.
+    /// Time at which it was queued.
     pub since_ms: u64,
     passed: u32,
 }
@@ -43,7 +43,7 @@
 
 type FlowKey = (Priority, Name);
 
-/// Jobs that wait for a slot.
+/// Jobs waiting for a slot.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     flows: HashMap<FlowKey, Flow>,
@@ -52,7 +52,7 @@
     work_ms: f64,
 }
 
-/// The share of a class against the next lower one, at equal account weights.
+/// Weight of a class at equal account weights.
 fn class_weight(priority: Priority) -> f64 {
     match priority {
         Priority::Urgent => 16.0,
@@ -66,22 +66,22 @@
 }
 
 impl FairQueue {
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The work of those that wait, in engine milliseconds.
+    /// Work of the waiting jobs, in engine milliseconds.
     pub fn work_ms(&self) -> f64 {
         self.work_ms
     }
 
-    /// Adds a job at the end of its flow.
+    /// Appends a job to its flow.
     pub fn push(&mut self, job: Job, work_ms: f64, since_ms: u64) {
         let now = self.now;
         let key = (job.priority, job.account.clone());
@@ -100,7 +100,7 @@
         self.work_ms += work_ms;
     }
 
-    /// Charges a job that starts without waiting, so that its account's next one waits its turn.
+    /// Charges a job that starts without waiting, so that its account's next job waits its turn.
     pub fn charge(&mut self, job: &Job, work_ms: f64) {
         let now = self.now;
         let key = (job.priority, job.account.clone());
@@ -111,7 +111,7 @@
         self.sweep();
     }
 
-    /// Takes the next job that `may_start`: from the flow that lags most.
+    /// Takes the next job that `may_start`, from the flow with the lowest virtual time.
     pub fn pop(&mut self, may_start: impl Fn(&Job) -> bool) -> Option<Waiting> {
         let startable = self.flows.iter().filter_map(|(key, flow)| {
             let at = pick(&flow.jobs, &may_start)?;
@@ -132,8 +132,8 @@
         Some(taken)
     }
 
-    /// Takes the youngest job of the flow that is furthest ahead, if it is further ahead than
-    /// `job`'s flow would be: a full queue pushes out whoever holds most of it.
+    /// Takes the newest job of the flow that is furthest ahead, if it is further ahead than the
+    /// flow of `job` would be: a full queue evicts from the account that occupies most of it.
     pub fn push_out(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
         let mine = self.backlog(job) + work_ms / flow_weight(job);
         let (key, worst) = self
@@ -150,7 +150,7 @@
         self.take(&key, last)
     }
 
-    /// The work in engine milliseconds that would start before `job`, were it pushed now.
+    /// Returns the work in engine milliseconds that would start before `job` if it were pushed now.
     pub fn work_before_ms(&self, job: &Job) -> f64 {
         let mine = self.backlog(job) + self.now;
         let before = |(key, flow): (&FlowKey, &Flow)| {
@@ -164,7 +164,7 @@
         self.flows.iter().map(before).sum()
     }
 
-    /// Takes a job that is no longer wanted.
+    /// Removes a job that is no longer wanted.
     pub fn remove(&mut self, id: JobId) -> Option<Waiting> {
         let (key, at) = self.flows.iter().find_map(|(key, flow)| {
             let at = flow.jobs.iter().position(|w| w.job.id == id)?;
@@ -173,7 +173,7 @@
         self.take(&key, at)
     }
 
-    /// Takes one job for which `is_lost` holds.
+    /// Takes one job that matches `is_lost`.
     pub fn take_lost(&mut self, is_lost: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let (key, at) = self.flows.iter().find_map(|(key, flow)| {
             let at = flow.jobs.iter().position(&is_lost)?;
@@ -182,7 +182,7 @@
         self.take(&key, at)
     }
 
-    /// The longest wait so far among those that wait, in milliseconds.
+    /// Returns the longest wait so far of a waiting job, in milliseconds.
     pub fn oldest_wait_ms(&self, now_ms: u64) -> u64 {
         let fronts = self.flows.values().filter_map(|f| f.jobs.front());
         fronts
@@ -203,7 +203,7 @@
         self.len -= 1;
         self.work_ms -= taken.work_ms;
         if self.len == 0 {
-            // Sums of floats drift; an empty queue is exactly empty.
+            // Floating-point sums drift; the sum of an empty queue is exactly zero.
             self.work_ms = 0.0;
         }
         Some(taken)
@@ -217,13 +217,13 @@
     }
 }
 
-/// How far ahead of the queue's virtual time a flow will be once all its jobs have started.
+/// Returns how far a flow's virtual time will be ahead of the queue's once all its jobs started.
 fn ahead(flow: &Flow, now: f64) -> f64 {
     let weight = flow.jobs.front().map_or(1.0, |w| flow_weight(&w.job));
     (flow.next - now).max(0.0) + flow.work_ms / weight
 }
 
-/// The job of a flow to start: the shortest, unless the first has been passed often enough.
+/// Returns the job of a flow to start: the shortest, unless the first was passed often enough.
 fn pick(jobs: &VecDeque<Waiting>, may_start: &impl Fn(&Job) -> bool) -> Option<usize> {
     let mut startable = jobs.iter().enumerate().filter(|(_, w)| may_start(&w.job));
     let (at, first) = startable.next()?;
--- a/src/decide/grey.rs
+++ b/src/decide/grey.rs
@@ -1,29 +1,29 @@
-//! Which upstreams fail a share of their requests that their pool doesn't.
+//! Detection of grey failures: upstreams that fail a larger share of their requests than their pool.
 //!
 //! Load pattern: some upstreams of a pool fail every third request or so and answer the others well,
-//! health checks too. Failures in a row hardly ever come, so counting those finds nothing, and until
-//! the upstream is mended every third of its callers gets a failure, or waits for a second try.
+//! health checks included. Consecutive failures are rare, so counting them detects nothing, and
+//! until the upstream is fixed a third of its callers get a failure or wait for a retry.
 //!
-//! So each upstream's calls of the last seconds are counted, those of all routers together: one router
-//! of many sees an upstream once a second and would need ten seconds to tell. An upstream is grey when
-//! it failed [`MIN_FAILED`] times and its share of failures is over [`MIN_SHARE`] and
-//! [`POOL_FACTOR`] times the pool's median: a service that fails one in seven by its nature ejects
-//! nobody. A decision costs a sort of the pool's shares.
+//! So each upstream's calls of the last seconds are counted over all routers: one router of many
+//! calls an upstream once a second and would need ten seconds to detect it. An upstream is grey when
+//! it failed [`MIN_FAILED`] times and its failure share is at least [`MIN_SHARE`] and [`POOL_FACTOR`]
+//! times the pool's median: a service in which one in seven requests fails by its nature ejects
+//! nothing. A decision costs a sort of the pool's shares.
 
-/// Counts halve in this time. Long enough for some twenty calls of an upstream at a dozen a second;
-/// after the first hold of an ejection a quarter is left, too little to eject again without new calls.
+/// Half-life of the counts. Long enough for some twenty calls of an upstream at a dozen a second;
+/// after the first ejection time a quarter is left, too little to eject again without new calls.
 pub const HALF_LIFE_MS: f64 = 1_500.0;
-/// Failures that aren't chance: two of three calls may fail by a restart.
+/// Failures that aren't chance: a restart may fail two of three calls.
 pub const MIN_FAILED: f64 = 3.0;
-/// A share of failures that callers notice in spite of second tries.
+/// Failure share that callers notice in spite of retries.
 pub const MIN_SHARE: f64 = 0.2;
-/// Times the pool's median share of failures.
+/// Multiple of the pool's median failure share.
 pub const POOL_FACTOR: f64 = 3.0;
 
-/// Counts below this are forgotten.
+/// Counts below this are dropped.
 const FORGOTTEN: f64 = 0.1;
 
-/// How an upstream's calls of the last seconds ended.
+/// Outcomes of an upstream's calls of the last seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
     ended: f64,
@@ -32,7 +32,7 @@
 }
 
 impl Outcomes {
-    /// Counts calls that ended, `failed` of them badly.
+    /// Adds calls that ended, `failed` of which failed.
     ///
     /// ```
     /// use cassiagrade::decide::grey::Outcomes;
@@ -46,7 +46,7 @@
         self.failed += f64::from(failed);
     }
 
-    /// What of it still counts at `now_ms`.
+    /// Returns the counts decayed to `now_ms`.
     pub fn at(self, now_ms: u64) -> Self {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let left = 0.5_f64.powf(age_ms / HALF_LIFE_MS);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The share that failed; 0 of none.
+    /// Returns the share that failed; 0 if there were no calls.
     pub fn share(self) -> f64 {
         if self.ended > 0.0 {
             self.failed / self.ended
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The counts of both.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: Self, now_ms: u64) -> Self {
         let (own, other) = (self.at(now_ms), other.at(now_ms));
         Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether enough is left to matter.
+    /// Whether enough calls are left to matter.
     pub fn is_significant(self) -> bool {
         self.ended >= FORGOTTEN
     }
@@ -87,11 +87,11 @@
     }
 }
 
-/// The grey ones of a pool, by their places in it.
+/// Returns the indices of a pool's grey upstreams.
 pub fn grey(pool: &[Outcomes]) -> Vec<usize> {
     let mut shares: Vec<f64> = pool.iter().map(|o| o.share()).collect();
     shares.sort_by(f64::total_cmp);
-    // Of an even number the lower one: with half of a small pool grey the other half is the measure.
+    // The lower median of an even number: with half of a small pool grey, the other half counts.
     let middle = shares.len().saturating_sub(1) / 2;
     let median = shares.get(middle).copied().unwrap_or(0.0);
     let grey = pool.iter().enumerate().filter(|(_, o)| o.is_grey(median));
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -1,20 +1,20 @@
-//! What one upstream's home admits, queues, sends elsewhere or refuses.
+//! Admission control of one upstream at its home: which jobs to start, queue, redirect or refuse.
 //!
-//! Load pattern: one upstream of a pool gets more work than its share, in bursts, or for long.
-//! Without a single place that knows the upstream's in-flight work exactly, many routers herd
-//! onto it by lagging reports; without an early answer, callers wait for what can't be done in
-//! time, and work is spent on answers that nobody waits for.
+//! Load pattern: one upstream of a pool gets more work than its share, in bursts or for long. If no
+//! router knows the upstream's work in flight exactly, many routers overload it because of lagging
+//! reports. Without an early refusal, callers wait for answers that can't arrive in time, and work
+//! is spent on answers that no caller waits for any more.
 //!
-//! - The load bound: a job that would lift the upstream over (1 + epsilon) times the pool's mean
+//! - The load bound: a job that would raise the upstream above (1 + epsilon) times the pool's mean
 //!   work is sent elsewhere. Only a job that was over the bound everywhere stays, so no upstream
-//!   holds more than that plus one job. Short histories are sent elsewhere first.
-//! - A job that would have to wait goes elsewhere while others of the pool have free slots, so that
-//!   nobody queues while an upstream idles.
-//! - A job that must wait is refused at once, with the time to come back, if it would not be
-//!   answered by its deadline; and again as soon as that shows while it waits.
-//! - The time to come back is the time that the queue takes to drain at the measured pace.
-//! - A new home takes over work that it hasn't seen: it counts the last reported work as its own
-//!   and lets it fade over [`crate::decide::take_over::TAKE_OVER_MS`].
+//!   has more than that plus one job. Short histories are sent elsewhere first.
+//! - A job that would have to wait goes elsewhere while other upstreams of the pool have free
+//!   slots, so that no job queues while an upstream idles.
+//! - A job that would wait past its deadline is refused at once with a retry time; while it waits,
+//!   it is refused as soon as the deadline can't be met any more.
+//! - The retry time is the time that the queue takes to drain at the measured time per work.
+//! - A new home takes over work that it hasn't started: it counts the last reported work as its
+//!   own and lets it decay over [`crate::decide::take_over::TAKE_OVER_MS`].
 //!
 //! An offer costs one scan over the waiting accounts, at most the queue's limit.
 
@@ -29,39 +29,39 @@
 use crate::decide::take_over::Inherited;
 use crate::decide::{ChatKey, Job, JobId, PoolView, Priority, Rates};
 
-/// Weight of the newest job in the running estimate of the pace.
+/// Weight of the newest job in the moving average of the time per work.
 const PACE_GAIN: f64 = 1.0 / 16.0;
-/// Jobs to see before the pace may be used to foretell a service time.
+/// Samples needed before the time per work is used to predict a service time.
 const PACE_SAMPLES: u32 = 8;
-/// Share of epsilon that jobs are admitted up to; the rest absorbs the drift of a mean that is a
+/// Share of epsilon up to which jobs are admitted; the rest absorbs the drift of a mean that is a
 /// gossip round old.
 const HEADROOM: f64 = 0.8;
-/// Share of the admitted band that a chat with nothing cached may use; the rest is kept for long
-/// histories, whose displacement costs most.
+/// Share of the admitted range that a chat with nothing cached may use; the rest is reserved for
+/// long histories, which cost most to displace.
 const NEW_SHARE: f64 = 0.7;
 /// Cached tokens from which a history counts as long: a quarter of a second of prefill.
 const LONG_TOKENS: f64 = 2_000.0;
-/// For this long a suspect of a crash runs with no other suspect beside it; see `quarantine`.
+/// For this long a suspect runs with no other suspect beside it; see `quarantine`.
 pub const SUSPECT_ALONE_MS: u64 = 500;
-/// The shortest time to come back: less would only add load.
+/// Shortest retry time: anything less would only add load.
 const MIN_RETRY_MS: u64 = 100;
 
-/// How one upstream is shared out.
+/// Admission policy of one upstream.
 #[derive(Clone, Debug)]
 pub struct HomePolicy {
-    /// Jobs the upstream runs at once.
+    /// Jobs that the upstream runs at once.
     pub slots: u32,
-    /// How far above the pool's mean work the upstream may go.
+    /// How far the upstream may exceed the pool's mean work, as a fraction of it.
     pub epsilon: f64,
-    /// Jobs that may wait here.
+    /// Most jobs in the queue.
     pub queue_limit: usize,
-    /// The longest wait that a job is queued for.
+    /// Longest expected wait for which a job is queued.
     pub queue_wait_ms: u64,
-    /// Classes in the order in which they are shed in a brown-out.
+    /// Classes in the order in which they are shed on overload.
     pub shed_order: Vec<Priority>,
-    /// Prompt tokens the upstream is believed to cache.
+    /// Assumed size of the upstream's prompt cache, in tokens.
     pub cache_tokens: u64,
-    /// What a token costs.
+    /// Cost of tokens and requests.
     pub rates: Rates,
 }
 
@@ -79,27 +79,27 @@
     }
 }
 
-/// The answer to a job that is offered to a home.
+/// The answer to a job offered to a home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Offer {
     /// Send it to the upstream now.
     Start,
-    /// It waits; [`Home::poll`] says when it starts or is given up.
+    /// It waits; [`Home::poll`] returns the outcome.
     Queued,
-    /// The upstream is over its bound: try the next in the chat's order.
+    /// The upstream is over its load bound: try the next one in the chat's order.
     OverBound,
-    /// It would have to wait here, but others of the pool have free slots: try those first.
+    /// It would have to wait, but other upstreams of the pool have free slots: try those first.
     Full,
-    /// Given up at once.
+    /// Refused at once.
     Refused(Refusal),
 }
 
-/// A waiting job whose wait is over.
+/// Outcome of a waiting job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ready {
     /// Send it now.
     Start(JobId),
-    /// Given up.
+    /// Refused.
     Refused(JobId, Refusal),
 }
 
@@ -110,7 +110,7 @@
     suspect: bool,
 }
 
-/// The state of one upstream at its home.
+/// Admission state of one upstream at its home.
 #[derive(Debug)]
 pub struct Home {
     policy: HomePolicy,
@@ -126,7 +126,7 @@
 }
 
 impl Home {
-    /// A home with nothing in flight.
+    /// Creates a home with no job in flight.
     ///
     /// ```
     /// use cassiagrade::decide::home::{Home, HomePolicy};
@@ -147,26 +147,27 @@
         }
     }
 
-    /// Takes over from an earlier home, whose last word was `jobs` in flight with `work_ms`.
+    /// Takes over from an earlier home, which last reported `jobs` in flight with `work_ms`.
     ///
-    /// Guards against a new home that takes a busy upstream for an idle one and doubles its load.
+    /// Failure guarded against: a new home takes a busy upstream for an idle one and doubles its
+    /// load.
     pub fn inherit(&mut self, jobs: u32, work_ms: f64, now_ms: u64) {
         self.inherited = Inherited::new(jobs, work_ms, now_ms);
     }
 
-    /// Takes the upstream's own word on how many jobs it has, which lags: what this home didn't
-    /// start is inherited.
+    /// Takes the upstream's own, lagging report of its jobs: those that this home didn't start are
+    /// inherited.
     pub fn reported(&mut self, jobs: u32, now_ms: u64) {
         let own = self.running.len() as f64;
         self.inherited.correct(f64::from(jobs) - own, now_ms);
     }
 
-    /// Changes how many jobs the upstream runs at once; those that run, run on.
+    /// Changes how many jobs the upstream runs at once; running jobs continue.
     pub fn set_slots(&mut self, slots: u32) {
         self.policy.slots = slots.max(1);
     }
 
-    /// Changes the policy; jobs in flight and the warm memory stay.
+    /// Changes the policy; jobs in flight and the record of cached chats stay.
     pub fn set_policy(&mut self, policy: HomePolicy) {
         if policy.shed_order != self.policy.shed_order {
             self.shedder = Shedder::new(policy.shed_order.clone());
@@ -174,7 +175,7 @@
         self.policy = policy;
     }
 
-    /// Jobs at the upstream.
+    /// Jobs running at the upstream.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
@@ -185,22 +186,22 @@
         self.policy.slots.saturating_sub(running)
     }
 
-    /// Jobs that wait here.
+    /// Jobs in the queue.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Work at the upstream and waiting for it, in engine milliseconds.
+    /// Work running and queued, in engine milliseconds.
     pub fn work_ms(&self) -> f64 {
         self.running_ms + self.queue.work_ms()
     }
 
-    /// What is believed to be cached at the upstream, youngest first.
+    /// Chats that are assumed to be cached at the upstream, most recent first.
     pub fn warm_chats(&self) -> impl Iterator<Item = (ChatKey, u32)> {
         self.warm.recent().map(|(chat, tokens)| (chat, *tokens))
     }
 
-    /// Believes that `chat` is cached at the upstream, or, with zero tokens, that it isn't.
+    /// Records that `tokens` of `chat` are cached at the upstream; zero means none.
     pub fn warmed(&mut self, chat: ChatKey, tokens: u32) {
         match tokens {
             0 => self.warm.remove(chat),
@@ -208,12 +209,12 @@
         }
     }
 
-    /// Believes that nothing is cached: the upstream restarted.
+    /// Clears the record of cached chats after a restart of the upstream.
     pub fn cooled(&mut self) {
         self.warm.clear();
     }
 
-    /// Decides on `job`, which isn't known here yet.
+    /// Decides on a new job.
     pub fn offer<R: Rng>(
         &mut self,
         mut job: Job,
@@ -247,20 +248,20 @@
         }
     }
 
-    /// A started job ended, or its caller went.
+    /// Removes a job that ended or whose caller disconnected.
     pub fn finish(&mut self, id: JobId, now_ms: u64) {
         if let Some(ended) = self.running.remove(&id) {
             self.running_ms -= ended.work_ms;
             self.learn_pace(&ended, now_ms);
         }
         if self.running.is_empty() {
-            // Sums of floats drift; an idle upstream is exactly idle.
+            // Floating-point sums drift; the sum of an idle upstream is exactly zero.
             self.running_ms = 0.0;
         }
         self.queue.remove(id);
     }
 
-    /// The next waiting job whose wait is over; call until `None`.
+    /// Returns the next waiting job whose wait is over; call until `None`.
     pub fn poll<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Option<Ready> {
         self.shedder
             .observe(self.queue.oldest_wait_ms(now_ms), now_ms);
@@ -282,14 +283,14 @@
         Some(Ready::Start(id))
     }
 
-    /// Whether a job of `work_ms` would lift the upstream over its bound.
+    /// Whether a job of `work_ms` would raise the upstream above its load bound.
     fn over_bound(&self, cached: u32, work_ms: f64, pool: PoolView, now_ms: u64) -> bool {
         let inherited_ms = self.inherited.work_ms(now_ms);
         let long = (f64::from(cached) / LONG_TOKENS).min(1.0);
         let share = HEADROOM * (NEW_SHARE + (1.0 - NEW_SHARE) * long);
         let bound_ms = (1.0 + share * self.policy.epsilon) * pool.mean_work_ms;
         let held_ms = self.work_ms() + inherited_ms;
-        // An idle upstream takes any job: nothing can hold less.
+        // An idle upstream takes any job: no other one can have less work.
         held_ms > 0.0 && held_ms + work_ms > bound_ms
     }
 
@@ -303,14 +304,14 @@
         self.has_slot(now_ms) && !(job.suspect && self.suspect_runs(now_ms))
     }
 
-    /// Whether a suspect has just started here: a request that kills its upstream does so in its
-    /// prefill. One that has run for longer no longer holds the other suspects up.
+    /// Whether a suspect started here within [`SUSPECT_ALONE_MS`]: a request that crashes its
+    /// upstream does so during prefill, so one that has run for longer doesn't block other suspects.
     fn suspect_runs(&self, now_ms: u64) -> bool {
         let fresh = |r: &Running| r.suspect && now_ms < r.since_ms + SUSPECT_ALONE_MS;
         self.running.values().any(fresh)
     }
 
-    /// Why a job that must wait may not.
+    /// Returns the refusal of a job that must wait but may not.
     fn turned_away<R: Rng>(
         &mut self,
         job: &Job,
@@ -340,14 +341,14 @@
         None
     }
 
-    /// A waiting job that can't be answered by its deadline any more.
+    /// Takes a waiting job that can't be answered by its deadline any more.
     fn take_lost(&mut self, now_ms: u64) -> Option<Waiting> {
         let pace = self.known_pace();
         self.queue
             .take_lost(|w| w.job.deadline_ms as f64 <= now_ms as f64 + w.work_ms * pace)
     }
 
-    /// How long the upstream takes for `work_ms` at the measured pace, with all slots at work.
+    /// Returns how long the upstream takes for `work_ms` with all slots busy.
     fn drain_ms(&self, work_ms: f64) -> f64 {
         work_ms * self.pace / f64::from(self.policy.slots.max(1))
     }
@@ -356,7 +357,7 @@
         work_ms * self.known_pace()
     }
 
-    /// Zero until enough jobs were seen: an estimate that nobody checked refuses nobody.
+    /// Returns zero until there are enough samples, so that an unproven estimate refuses nothing.
     fn known_pace(&self) -> f64 {
         match self.paced {
             PACE_SAMPLES.. => self.pace,
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -1,61 +1,61 @@
-//! How much of an account's fleet-wide rate and concurrency each router may use.
+//! Divides an account's fleet-wide rate and concurrency limits among the routers.
 //!
-//! Load pattern: an account's limit holds for the whole fleet, but its requests come to many
-//! routers, each of which sees a sliver. A limit of 1/N each refuses an account whose callers
-//! all use one router; no sharing lets it have N times its limit.
+//! Load pattern: an account's limit applies to the whole fleet, but its requests arrive at many
+//! routers, each of which sees a small part. A limit of 1/N each refuses an account whose callers
+//! all use one router; without any division it can have N times its limit.
 //!
-//! The account's *accountant*, one router found by hashing, collects what each router wants and
-//! hands out shares: max-min fair, so a router that wants little gets it whole and the rest is
-//! split among those that want more (Bertsekas and Gallager, "Data Networks", 6.5). A share holds
-//! for [`SHARE_MS`]. A router that gets no new one falls to limit / routers by then, which is what a
+//! One router, found by hashing the account, collects each router's demand and grants shares. They
+//! are max-min fair: a router with a small demand gets it whole, and the rest is split among those
+//! that want more (Bertsekas and Gallager, "Data Networks", 6.5). A share is valid for
+//! [`SHARE_MS`]. A router that gets no new one decays to limit / routers by then, which is what a
 //! router without any share uses. When demand moves, a grant takes only what other grants leave,
-//! but never less than an even share: so the sum is above the limit for at most [`SHARE_MS`], and
-//! never above twice the limit.
+//! but never less than an even share, so the sum exceeds the limit for at most [`SHARE_MS`] and
+//! never exceeds twice the limit.
 //!
-//! A request costs one table access; a round at the accountant sorts the routers that want more.
+//! A request costs one table access; a grant sorts the routers' demands.
 
 use std::collections::HashMap;
 
 use crate::decide::Name;
 
-/// How long a share holds. Three report intervals of a small fleet: two may get lost.
+/// Validity of a share. Three report intervals of a small fleet, so that two may be lost.
 pub const SHARE_MS: u64 = 3_000;
-/// A bucket holds what its rate brings in this time: callers come in bursts.
+/// A token bucket holds what its rate brings in this time, because callers arrive in bursts.
 const BURST_S: f64 = 1.0;
-/// A router's report is forgotten when it is this old.
+/// Age at which a router's report is dropped.
 const REPORT_MS: u64 = SHARE_MS;
 
-/// Limits or a share of them; zero means none is set.
+/// Limits, or a share of them; zero means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limit {
     /// Requests a second.
     pub rate_per_s: f64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: f64,
 }
 
-/// What a router used and turned away since it last reported.
+/// Demand of an account at one router since the router's last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests a second that came, served or not.
+    /// Requests received per second, served or not.
     pub rate_per_s: f64,
-    /// Requests at once that were wanted at the most.
+    /// Peak of concurrent requests wanted.
     pub concurrency: f64,
 }
 
-/// Why a request is over the limit.
+/// Which limit a request exceeds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exceeded {
-    /// The rate: a token comes after this time.
+    /// The rate limit.
     Rate {
-        /// Until the next token.
+        /// Time until the next token.
         wait_ms: u64,
     },
-    /// Too many at once.
+    /// The concurrency limit.
     Concurrency,
 }
 
-/// One account at one router.
+/// State of one account at one router.
 #[derive(Clone, Debug)]
 struct Account {
     share: Option<(Limit, u64)>,
@@ -67,18 +67,18 @@
     since_ms: u64,
 }
 
-/// The accounts that one router serves.
+/// Limits of the accounts that one router serves.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     accounts: HashMap<Name, Account>,
 }
 
 impl Limits {
-    /// Counts a request of `account`, whose fleet-wide limit is `limit`, if its share of the rate
-    /// allows it.
+    /// Counts a request of `account`, whose fleet-wide limit is `limit`, if the router's share of the
+    /// rate allows it.
     ///
     /// # Errors
-    /// When the router's share is used up.
+    /// If the router's share of the rate is used up.
     ///
     /// ```
     /// use cassiagrade::decide::limits::{Limit, Limits, Exceeded};
@@ -117,11 +117,11 @@
         Ok(())
     }
 
-    /// Counts a request of `account` as running, if its share of the concurrency allows it;
+    /// Counts a request of `account` as running if the router's share of the concurrency allows it;
     /// [`Limits::end`] must follow.
     ///
     /// # Errors
-    /// When the router's share is used up.
+    /// If the router's share of the concurrency is used up.
     pub fn begin(
         &mut self,
         account: &Name,
@@ -132,7 +132,7 @@
         let account = self.account(account, now_ms);
         account.wanted = account.wanted.max(account.running + 1);
         let share = account.share(limit, routers, now_ms).concurrency;
-        // Rounded up: a share under one would shut out an account at every router.
+        // Rounded up: a share below one would block the account at every router.
         if limit.concurrency > 0.0 && f64::from(account.running) >= share.ceil().max(1.0) {
             return Err(Exceeded::Concurrency);
         }
@@ -140,19 +140,19 @@
         Ok(())
     }
 
-    /// A request that began has ended.
+    /// Records the end of a running request.
     pub fn end(&mut self, account: &str) {
         if let Some(account) = self.accounts.get_mut(account) {
             account.running = account.running.saturating_sub(1);
         }
     }
 
-    /// Takes a share that the accountant granted.
+    /// Stores a granted share.
     pub fn granted(&mut self, account: &Name, share: Limit, now_ms: u64) {
         self.account(account, now_ms).share = Some((share, now_ms));
     }
 
-    /// What each account wanted since the last call; accounts that want nothing are forgotten.
+    /// Returns each account's demand since the last call, and drops accounts without any.
     pub fn demands(&mut self, now_ms: u64) -> Vec<(Name, Demand)> {
         let idle = |a: &Account| a.came == 0 && a.running == 0 && a.wanted == 0;
         self.accounts.retain(|_, a| !idle(a));
@@ -186,7 +186,7 @@
 }
 
 impl Account {
-    /// The share in force: the granted one, decaying to an even one while no new grant comes.
+    /// Returns the share in force: the granted one, decaying to an even one without a new grant.
     fn share(&self, limit: Limit, routers: usize, now_ms: u64) -> Limit {
         let even = limit.scaled(1.0 / routers.max(1) as f64);
         let Some((granted, at_ms)) = self.share else {
@@ -196,7 +196,7 @@
         let left = (1.0 - age).max(0.0);
         let decayed = |granted: f64, even: f64| {
             if granted <= even {
-                // A small share never grows by silence.
+                // A share below the even one doesn't grow without a grant.
                 return granted;
             }
             even + left * (granted - even)
@@ -217,7 +217,7 @@
     }
 }
 
-/// What the routers want of the accounts whose accountant this router is.
+/// Divides the limits of the accounts that this router is responsible for.
 #[derive(Clone, Debug, Default)]
 pub struct ShareAllocator {
     reports: HashMap<Name, HashMap<Name, Report>>,
@@ -231,7 +231,7 @@
 }
 
 impl ShareAllocator {
-    /// Takes what `router`, one of `routers`, wants of `account`, and returns its share.
+    /// Takes the demand for `account` of `router`, one of `routers`, and returns its share.
     ///
     /// ```
     /// use cassiagrade::decide::limits::{ShareAllocator, Demand, Limit};
@@ -281,8 +281,8 @@
     }
 }
 
-/// The max-min fair share of one who wants `own`, beside others' `wants`. What nobody wants is
-/// split evenly among all `routers`, so that each has room before it asks.
+/// Returns the max-min fair share of a router that wants `own` beside the demands `wants`. Unused
+/// capacity is split evenly among all `routers`, so that each has some before it reports demand.
 pub fn fair_share(limit: f64, own: f64, mut wants: Vec<f64>, routers: usize) -> f64 {
     wants.push(own);
     wants.sort_by(f64::total_cmp);
--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -1,33 +1,33 @@
-//! What one router believes of each upstream's work.
+//! One router's view of the load of each upstream.
 //!
-//! Load pattern: reports are a second old and some get lost, while each of many routers places
-//! work by them. Acting on the reports alone, all routers send to the engine that was idle a
-//! second ago. Two corrections are free: every answer of a home carries its exact work at that
-//! moment, and what this router itself has placed since the last report is added.
+//! Load pattern: reports are a second old and some get lost, while each of many routers places work
+//! by them. By the reports alone, all routers send to the engine that was idle a second ago. Two
+//! corrections cost nothing: every answer of a home carries its exact load at that moment, and the
+//! work that this router has placed since the last report is added.
 //!
-//! A view costs one table look-up an upstream when it is rebuilt, and nothing in between.
+//! A view costs one table look-up per upstream when it is rebuilt, and nothing in between.
 
 use std::collections::HashMap;
 
 use crate::decide::{Name, PoolView};
 
-/// The load of one upstream at one moment.
+/// Load of one upstream at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamLoad {
     /// Work in flight and waiting, in engine milliseconds.
     pub work_ms: f64,
-    /// Jobs at the upstream.
+    /// Jobs running at the upstream.
     pub in_flight: u32,
-    /// Jobs that wait for it.
+    /// Jobs queued for it.
     pub queued: u32,
 }
 
 /// One upstream of a pool.
 #[derive(Clone, Debug)]
 pub struct Slots {
-    /// Its name.
+    /// Name of the upstream.
     pub name: Name,
-    /// Jobs it runs at once.
+    /// Jobs that it runs at once.
     pub slots: u32,
 }
 
@@ -37,14 +37,14 @@
     seq: u64,
 }
 
-/// Beliefs by upstream.
+/// Latest known load by upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     beliefs: HashMap<Name, Belief>,
 }
 
 impl LoadView {
-    /// Takes a gossiped report; one that isn't newer than the last changes nothing.
+    /// Takes a load report received by gossip, unless it isn't newer than the last one.
     pub fn reported(&mut self, upstream: &Name, seen: UpstreamLoad, seq: u64) {
         let known = self.beliefs.entry(upstream.clone()).or_default();
         if seq > known.seq {
@@ -69,25 +69,25 @@
         self.beliefs.insert(upstream.clone(), belief);
     }
 
-    /// Adds a job that this router has just sent there.
+    /// Adds a job that this router has just sent to `upstream`.
     pub fn sent(&mut self, upstream: &Name, work_ms: f64) {
         let known = self.beliefs.entry(upstream.clone()).or_default();
         known.seen.work_ms += work_ms;
         known.seen.in_flight += 1;
     }
 
-    /// The believed load of `upstream`, if any router told of it.
+    /// Returns the latest known load of `upstream`.
     pub fn get(&self, upstream: &str) -> Option<UpstreamLoad> {
         self.beliefs.get(upstream).map(|b| b.seen)
     }
 
-    /// Forgets upstreams that `keep` doesn't hold for.
+    /// Keeps only the upstreams for which `keep` is true.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.beliefs.retain(|name, _| keep(name));
     }
 
-    /// The pool as seen from the home of `own`, whose exact load is `exact`; without `own`, as
-    /// seen from anywhere. The mean is over those whose load is known: unknown isn't idle.
+    /// Returns the pool's load as seen from the home of the upstream `own` with its exact load, or
+    /// from any router without `own`. The mean covers only upstreams whose load is known.
     pub fn pool_view(&self, pool: &[Slots], own: Option<(&str, UpstreamLoad)>) -> PoolView {
         let mut known = 0_u32;
         let mut sum_ms = 0.0;
@@ -113,7 +113,7 @@
 }
 
 impl Slots {
-    /// Jobs it could start at once, at the load `seen`.
+    /// Returns how many jobs it could start at once at the given load.
     pub fn free(&self, seen: UpstreamLoad) -> u32 {
         self.slots.saturating_sub(seen.in_flight + seen.queued)
     }
--- a/src/decide/lru.rs
+++ b/src/decide/lru.rs
@@ -1,12 +1,12 @@
-//! A bounded memory of chats: which were served last, where, and how long their prefix is.
+//! Bounded LRU cache of per-chat data, such as where a chat was last served and its prefix length.
 //!
-//! Load pattern: millions of chats return after pauses, most within minutes. Without a memory of
-//! where a chat was served last, a chat that was once displaced or levelled away would be sent to
-//! the first engine of its order again and be prefilled anew there.
+//! Load pattern: millions of chats return after pauses, most within minutes. Without a record of
+//! where a chat was served last, a chat that was once moved off the first engine of its order by
+//! load would be sent there again, and its prompt prefilled anew.
 //!
-//! The memory is a hint: an entry may be wrong, and then costs one prefill. It forgets the chats
-//! that were used longest ago, as the engines' prefix caches do. One look-up or insert costs one
-//! hash table access; an insert may drop old entries, each of which was inserted once.
+//! Entries are hints: a wrong one costs one prefill. The least recently used chats are evicted, as
+//! in the engines' prefix caches. A look-up or insert costs one hash table access; an insert may
+//! evict old entries, each of which was inserted once.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -19,7 +19,7 @@
     stamp: u64,
 }
 
-/// What is known of the chats used last, up to a total size.
+/// LRU cache of chats, bounded by the total size of its entries.
 #[derive(Clone, Debug)]
 pub struct LruCache<V> {
     entries: HashMap<ChatKey, Entry<V>>,
@@ -30,7 +30,7 @@
 }
 
 impl<V> LruCache<V> {
-    /// An empty memory that keeps entries up to a total size of `limit`.
+    /// Creates an empty cache with a total size of at most `limit`.
     ///
     /// ```
     /// use cassiagrade::decide::{ChatKey, lru::LruCache};
@@ -51,12 +51,12 @@
         }
     }
 
-    /// What is known of `chat`. Doesn't make it younger.
+    /// Returns the entry of `chat` without making it more recent.
     pub fn get(&self, chat: ChatKey) -> Option<&V> {
         self.entries.get(&chat).map(|e| &e.value)
     }
 
-    /// Remembers `chat` as the youngest, and forgets the oldest that no longer fit.
+    /// Inserts `chat` as the most recent, and evicts the oldest entries beyond the limit.
     pub fn put(&mut self, chat: ChatKey, value: V, size: u64) {
         self.remove(chat);
         self.stamp += 1;
@@ -69,31 +69,31 @@
         self.compact();
     }
 
-    /// Forgets `chat`.
+    /// Removes `chat`.
     pub fn remove(&mut self, chat: ChatKey) {
         if let Some(entry) = self.entries.remove(&chat) {
             self.size -= entry.size;
         }
     }
 
-    /// Forgets everything, for instance when the upstream restarted.
+    /// Removes all entries, for instance when the upstream restarted.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.by_age.clear();
         self.size = 0;
     }
 
-    /// Chats remembered.
+    /// Number of chats.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The chats remembered, youngest first.
+    /// Returns the chats, most recent first.
     pub fn recent(&self) -> impl Iterator<Item = (ChatKey, &V)> {
         let live = self.by_age.iter().rev();
         live.filter_map(|(chat, stamp)| {
@@ -112,7 +112,7 @@
         true
     }
 
-    /// Chats put again leave their older place in the list behind: sweep when half of it is stale.
+    /// Removes stale positions of chats that were inserted again, once half of the list is stale.
     fn compact(&mut self) {
         if self.by_age.len() > 2 * self.entries.len() + 16 {
             let entries = &self.entries;
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions under load: whom to serve, who waits, who is refused, and where work goes.
+//! Load-dependent decisions: admission, queueing, refusal and placement of requests.
 //!
-//! Nothing here reads a clock, a socket or a global: time, random numbers and views of the world
-//! are arguments, so each module can be read and tested alone.
+//! No module here reads a clock, a socket or global state: time, random numbers and views of the
+//! fleet are arguments, so that each module can be read and tested alone.
 
 pub mod admission;
 pub mod allowance;
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,50 +1,50 @@
-//! Where a chat's work goes.
+//! Placement of chats on upstreams.
 //!
-//! Load pattern: millions of chats return after pauses, each best served where its prefix is
-//! cached, while engines come and go and a surge may fall on a few of them. Without an order that
-//! all routers compute alike, each return would land at random and be prefilled anew; without
-//! levelling, hashing alone leaves the busiest engine at twice the mean.
+//! Load pattern: millions of chats return after pauses, each best served where its prefix is cached,
+//! while engines come and go and a surge may hit a few of them. Without an order that all routers
+//! compute alike, each return would be placed at random and its prompt prefilled anew; without load
+//! balancing, hashing alone leaves the busiest engine at twice the mean.
 //!
-//! - A chat's order is a rendezvous (highest random weight) order of its pool: when one of n
-//!   engines goes, only its own chats move.
-//! - A chat with nothing cached loses nothing by going elsewhere: it goes to the least loaded of
-//!   the first [`PlacementPolicy::width`] of its order. A chat that is warm somewhere stays there
-//!   while that engine's home admits it.
-//! - The home's bound decides exactly; the loads used here may be a gossip round old.
+//! - A chat's order is the rendezvous (highest random weight) order of its pool: if one of n
+//!   engines leaves, only its own chats move.
+//! - A chat with nothing cached can go anywhere: it goes to the least loaded of the first
+//!   [`PlacementPolicy::width`] upstreams of its order. A cached chat stays at its engine while that
+//!   engine's home admits it.
+//! - The home's load bound is exact; the loads used here may be a gossip round old.
 //!
-//! Grounds of the constants: see `docs/MEASUREMENTS.md`, "Decisions under load". A plan costs one
-//! multiply-mix an upstream and no allocation but the list of tries: linear in the pool.
+//! See `docs/MEASUREMENTS.md`, "Decisions under load", for the constants. A plan costs one
+//! multiply-mix per upstream and allocates only the list of tries: linear in the pool.
 
 use crate::decide::{ChatKey, Name, Rates};
 use crate::util;
 
-/// How long a joined upstream's weight takes to grow to its full value.
+/// Time in which the weight of a joined upstream grows to its full value.
 ///
-/// Two rounds of gossip would do for the load to be known; ten seconds also outlasts the roster's
-/// lag, so that routers that learn of it late don't see it idle and send everything there.
+/// Two rounds of gossip would suffice to learn its load; ten seconds also outlast the lag of the
+/// host list, so that routers that learn of the upstream late don't see it idle and all send there.
 pub const JOIN_RAMP_MS: u64 = 10_000;
-/// The weight a joined upstream starts with.
+/// Initial weight of a joined upstream.
 const JOIN_WEIGHT: f64 = 0.25;
-/// How many of the first few are tried before the least loaded of all. Each try that is over its
-/// bound costs a round trip between routers and brings back that upstream's exact work.
+/// Preferred upstreams to try before the least loaded of all. Each try that is over its bound costs
+/// a round trip between routers and returns that upstream's exact load.
 const LEVEL_TRIES: usize = 3;
-/// Work of one short answer: views that are a gossip round old differ by as much in an idle pool,
-/// where new chats should keep the first of their order, to which their callers come.
+/// Work of one short answer. Views that are a gossip round old differ by as much in an idle pool,
+/// where new chats should keep the first upstream of their order, to which their callers connect.
 const NOISE_MS: f64 = 250.0;
-/// What moving a chat's KV cache costs whatever its length: two round trips between hosts of a
-/// region, and the engines' own handling.
+/// Fixed cost of moving a chat's KV cache: two round trips between hosts of a region, and the
+/// engines' own handling.
 const IMPORT_MS: f64 = 20.0;
-/// KV tokens moved a millisecond, over a link of 100 Gbit/s.
+/// KV tokens moved per millisecond over a link of 100 Gbit/s.
 const IMPORT_TOKENS_PER_MS: f64 = 80.0;
-/// The warm one and the level ones.
+/// The engine that has the chat cached, and the preferred ones.
 const MAX_TRIES: usize = LEVEL_TRIES + 1;
-/// Added to the load of an upstream that has no free slot: it comes after all that have one.
+/// Added to the load of an upstream without a free slot, so that it comes after all that have one.
 const FULL_MS: f64 = 1e12;
 
-/// How a pool's chats are placed.
+/// Placement policy of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementPolicy {
-    /// New chats are levelled among this many of their order.
+    /// New chats go to the least loaded of this many upstreams of their order.
     pub width: usize,
 }
 
@@ -54,30 +54,30 @@
     }
 }
 
-/// A pool with the hashes its orders need, built once a configuration.
+/// A pool's names and the hashes for its chats' orders, built once per configuration.
 #[derive(Clone, Debug, Default)]
 pub struct PoolIndex {
     names: Vec<Name>,
     hashes: Vec<u64>,
 }
 
-/// Where to try, in order; places in the pool's list of names.
+/// Upstreams to try in order, as indices into the pool's names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Each is tried once, and may send the chat on.
+    /// Each is tried once and may redirect the chat.
     pub tries: Vec<usize>,
-    /// Must queue the chat or refuse it, unless a try was full but not over its bound: then that.
+    /// Must queue or refuse the chat, unless a try was full but within its bound: then that one.
     pub last: Option<usize>,
 }
 
 impl PoolIndex {
-    /// Indexes `names`.
+    /// Builds the index of `names`.
     ///
     /// ```
     /// use cassiagrade::decide::{ChatKey, Name, placement::{PlacementPolicy, PoolIndex}};
     /// let names: Vec<Name> = ["a", "b", "c"].map(Into::into).to_vec();
     /// let pool = PoolIndex::new(names);
-    /// // All idle but "b": a new chat doesn't go there; a chat that is warm there does.
+    /// // All but "b" are idle: a new chat doesn't go there; a chat that is cached there does.
     /// let load_ms = [0.0, 500.0, 0.0];
     /// let new = pool.plan(ChatKey(7), None, &load_ms, PlacementPolicy::default());
     /// assert_ne!(new.tries[0], 1);
@@ -89,17 +89,17 @@
         Self { names, hashes }
     }
 
-    /// The names it was built from.
+    /// Returns the names it was built from.
     pub fn names(&self) -> &[Name] {
         &self.names
     }
 
-    /// The place of `name`.
+    /// Returns the index of `name`.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|n| **n == *name)
     }
 
-    /// The first `width` of `chat`'s order.
+    /// Returns the first `width` upstreams of the order of `chat`.
     pub fn first(&self, chat: ChatKey, width: usize) -> Vec<usize> {
         let mut best: Vec<(u64, usize)> = Vec::with_capacity(width + 1);
         for (at, hash) in self.hashes.iter().enumerate() {
@@ -114,11 +114,11 @@
         best.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Where to try `chat`, given where it is warm and the load of each upstream; an infinite
-    /// load keeps an upstream out.
+    /// Returns where to try `chat`, given where it is cached and the load of each upstream; an
+    /// infinite load excludes an upstream.
     ///
-    /// A warm chat is tried where it is warm; then the first few of its order, the least loaded
-    /// first; then the least loaded of all.
+    /// First the upstream that has it cached, then the first few of its order by load, then the
+    /// least loaded of all.
     pub fn plan(
         &self,
         chat: ChatKey,
@@ -141,10 +141,10 @@
         Plan { tries, last }
     }
 
-    /// The least loaded of all; of equals the first in the chat's order.
+    /// Returns the least loaded upstream; of equals the first in the chat's order.
     ///
-    /// By the order of names, every router's chats would go to one and the same of the equals, which is then late in a
-    /// pool that is half idle, and is ejected for it.
+    /// Failure guarded against: with ties broken by name, all routers' chats go to the same one of
+    /// the equals, which then answers late in a half idle pool and is ejected for it.
     fn least(&self, chat: ChatKey, load_ms: &[f64]) -> Option<usize> {
         let rank = |at: &usize| (level(load_ms[*at]), util::mix(chat.0, self.hashes[*at]));
         (0..self.names.len())
@@ -156,17 +156,17 @@
     }
 }
 
-/// Loads that differ by less than [`NOISE_MS`] count as equal.
+/// Rounds a load so that differences below [`NOISE_MS`] are ignored.
 fn level(load_ms: f64) -> f64 {
     (load_ms / NOISE_MS).floor()
 }
 
-/// How long moving the KV cache of `tokens` takes.
+/// Returns how long moving the KV cache of `tokens` takes.
 pub fn import_ms(tokens: u32) -> f64 {
     IMPORT_MS + f64::from(tokens) / IMPORT_TOKENS_PER_MS
 }
 
-/// Whether a displaced chat's KV cache should follow it: moving it is cheaper than a new prefill.
+/// Whether a displaced chat's KV cache should be moved, because that is cheaper than a new prefill.
 ///
 /// ```
 /// use cassiagrade::decide::{Rates, placement::import_pays};
@@ -177,10 +177,11 @@
     import_ms(tokens) < f64::from(tokens) * rates.prefill_ms
 }
 
-/// The load at which an upstream with `free_slots` is shown to placement.
+/// Returns the load of an upstream with `free_slots` as placement uses it.
 ///
-/// Guards against work that is level while slots are not: a few long jobs fill one engine's bound,
-/// many short ones fill another's slots, and new ones queue there while the first has slots free.
+/// Failure guarded against: work is balanced while slots are not. A few long jobs reach one
+/// engine's bound, many short ones take another's slots, and new jobs queue there while the first
+/// engine has free slots.
 pub fn shown_load_ms(work_ms: f64, free_slots: u32) -> f64 {
     if free_slots == 0 {
         return work_ms + FULL_MS;
@@ -188,10 +189,11 @@
     work_ms
 }
 
-/// The load at which an upstream that joined `age_ms` ago is shown to placement.
+/// Returns the load of an upstream that joined `age_ms` ago as placement uses it.
 ///
-/// Guards against a herd onto an engine that has just joined: it looks idle to every router for a
-/// round of gossip. Its shown load starts near the pool's mean and falls to its own with age.
+/// Failure guarded against: an engine that has just joined looks idle to every router for a round
+/// of gossip, and all send there. The load used starts near the pool's mean and falls to the
+/// engine's own with age.
 pub fn joined_load_ms(own_ms: f64, mean_ms: f64, age_ms: u64) -> f64 {
     if age_ms >= JOIN_RAMP_MS {
         return own_ms;
@@ -201,7 +203,7 @@
     own_ms.max(mean_ms * (1.0 - weight))
 }
 
-/// Orders `upstreams` for `chat`, best first, by highest random weight. Costs one hash an upstream.
+/// Orders `upstreams` for `chat` by highest random weight, best first. Costs one hash per upstream.
 ///
 /// ```
 /// use cassiagrade::decide::{ChatKey, Name, placement};
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -1,16 +1,16 @@
-//! Which requests are held to have crashed upstreams.
+//! Quarantine of requests that are suspected to crash upstreams.
 //!
-//! Load pattern: one request kills each engine that runs it, and its caller, or the fleet, sends
+//! Load pattern: one request crashes each engine that runs it, and its caller, or the fleet, sends
 //! it again. Without a quarantine it takes down one engine after the other, with all the requests
 //! in flight beside it.
 //!
-//! When an engine dies, each request that was in flight there is a suspect. Suspects start one at
-//! a time at an engine, [`crate::decide::home::SUSPECT_ALONE_MS`] apart. If the engine dies again
-//! under one sole suspect, that one is convicted. Of several, none is: the innocent ones succeed
-//! and are cleared, and the guilty one soon is the sole one left. A success clears. So an innocent
-//! request is convicted only if engines die of something else each time it runs: twice, the
-//! second time under it as the sole suspect, or [`MANY_DEATHS`] times. At most [`MAX_ENTRIES`] are
-//! kept. A look-up costs one table access.
+//! When an engine dies, each request in flight there becomes a suspect. Suspects start one at a time
+//! at an engine, [`crate::decide::home::SUSPECT_ALONE_MS`] apart. If the engine dies again under a
+//! sole suspect, that one is quarantined. With several, none is: the harmless ones succeed and are
+//! cleared, so the harmful one soon is the sole one left. A harmless request is therefore
+//! quarantined only if engines die for other reasons each time it runs: twice, the second time with
+//! it as the sole suspect, or [`MANY_DEATHS`] times. At most [`MAX_ENTRIES`] are kept. A look-up
+//! costs one table access.
 
 use std::collections::HashMap;
 
@@ -19,19 +19,19 @@
 use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::util;
 
-/// How long a conviction holds; a caller that repeats the request after a fix comes through.
+/// Duration of a quarantine; a caller that repeats the request after a fix is then served.
 pub const CONVICTION_MS: u64 = 300_000;
-/// How long a suspicion holds.
+/// How long a request stays a suspect.
 pub const SUSPICION_MS: u64 = 300_000;
-/// Deaths that convict a sole suspect.
+/// Deaths after which a sole suspect is quarantined.
 const DEATHS: u32 = 2;
-/// Deaths that convict whoever ran beside it: four engines are more than chance takes.
+/// Deaths after which a suspect is quarantined even beside others: four are more than chance.
 pub const MANY_DEATHS: u32 = 4;
-/// More are forgotten, the oldest first: a fleet that loses a whole data centre suspects all that
-/// ran there.
+/// Beyond this the oldest entries are evicted: a fleet that loses a whole data centre suspects all
+/// requests that ran there.
 pub const MAX_ENTRIES: usize = 10_000;
 
-/// Identifies a request by what it asks, so that a re-send is recognised.
+/// Identifies a request by its content, so that a repeated one is recognised.
 pub fn fingerprint(account: &str, service: &str, body: &[u8]) -> u64 {
     util::mix(
         util::hash_parts(&[account, service]),
@@ -39,16 +39,16 @@
     )
 }
 
-/// What is held of a request.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineStatus {
-    /// Nothing.
+    /// Neither suspected nor quarantined.
     Free,
-    /// It may run alone among suspects.
+    /// It may run, but not beside other suspects.
     Suspect,
-    /// It may not run for this long.
+    /// It may not run.
     Convicted {
-        /// Time until it may.
+        /// Remaining time of the quarantine.
         left_ms: u64,
     },
 }
@@ -60,14 +60,14 @@
     at_ms: u64,
 }
 
-/// The suspects and convicts that one router knows of.
+/// Suspected and quarantined requests known to one router.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<u64, Entry>,
 }
 
 impl Quarantine {
-    /// What is held of the request with this fingerprint.
+    /// Returns the status of the request with this fingerprint.
     pub fn status(&self, fingerprint: u64, now_ms: u64) -> QuarantineStatus {
         let Some(entry) = self.entries.get(&fingerprint) else {
             return QuarantineStatus::Free;
@@ -83,8 +83,8 @@
         QuarantineStatus::Free
     }
 
-    /// Its upstream died while it ran; `sole` if it was the only suspect there. Returns the
-    /// deaths now held against it.
+    /// Records that its upstream died while it ran; `sole` if it was the only suspect there. Returns
+    /// its total of deaths.
     ///
     /// ```
     /// use cassiagrade::decide::quarantine::{Quarantine, QuarantineStatus};
@@ -99,7 +99,7 @@
         let before = self.entries.get(&fingerprint).filter(|_| held);
         let deaths = before.map_or(0, |e| e.deaths) + 1;
         let convicted = sole && deaths >= DEATHS || deaths >= MANY_DEATHS;
-        // Told to others as a count alone, so a conviction counts as many.
+        // Only the count is sent to other routers, so a quarantined request counts as many deaths.
         let deaths = if convicted {
             deaths.max(MANY_DEATHS)
         } else {
@@ -109,12 +109,12 @@
         deaths
     }
 
-    /// It was answered whole; tells whether it was held.
+    /// Clears a request that was answered completely. Returns whether it had an entry.
     pub fn succeeded(&mut self, fingerprint: u64) -> bool {
         self.entries.remove(&fingerprint).is_some()
     }
 
-    /// Takes what another router holds; `age_ms` is how long it has held it.
+    /// Merges an entry of another router; `age_ms` is its age there.
     pub fn merge(
         &mut self,
         fingerprint: u64,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The refusal of a convicted request: it was not run this time.
+    /// Returns the refusal of a quarantined request; it has not run this time.
     pub fn refusal<R: Rng>(left_ms: u64, rng: &mut R) -> Refusal {
         Refusal::not_run(Cause::Quarantined, jittered_ms(left_ms, rng))
     }
--- a/src/decide/refusal.rs
+++ b/src/decide/refusal.rs
@@ -1,7 +1,7 @@
-//! Every refusal: its cause, whether the request ran, and when to come back.
+//! Refusals: the cause, whether the request ran, and when to retry.
 //!
-//! A request that is given up on is answered at once. Refused callers who all come back at the
-//! same moment would be refused again, so the time to come back is spread by jitter.
+//! A request that can't be served is answered at once. Callers refused at the same moment would
+//! be refused again if they all retried together, so the retry time is spread by jitter.
 
 use rand::Rng;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
@@ -10,53 +10,53 @@
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Cause {
-    /// No or a wrong account key.
+    /// The account key is missing or wrong.
     Unauthorized,
     /// The account is suspended.
     AccountSuspended,
-    /// The router holds as many connections as it may.
+    /// The router's limit of open connections is reached.
     ConnectionLimit,
-    /// The request itself is malformed.
+    /// The request is malformed.
     BadRequest,
-    /// Body or headers exceed their bound.
+    /// Body or headers exceed their size limit.
     TooLarge,
-    /// The caller sent too slowly.
+    /// The caller sent the request too slowly.
     TooSlow,
-    /// No such service.
+    /// No service matches the request.
     UnknownService,
-    /// The account's rate or concurrency share is used up.
+    /// The account's share of its rate or concurrency limit is used up.
     AccountLimit,
     /// The queue is full.
     QueueFull,
     /// The deadline can't be met.
     Deadline,
-    /// The class is being shed in a brown-out.
+    /// The priority class is being shed because of overload.
     Shed,
-    /// The upstream is over its load bound; another may not be.
+    /// The upstream is over its load bound; another one may not be.
     OverBound,
-    /// The upstream has no free slot; another of its pool has.
+    /// The upstream has no free slot; another one of its pool has.
     Full,
-    /// No connection to the upstream's home; another router may be its home by now.
+    /// No connection to the upstream's home; another router may have become its home.
     HomeUnreachable,
     /// No upstream takes work now.
     NoUpstream,
     /// The upstream failed.
     UpstreamFailed,
-    /// The request is held to have crashed upstreams.
+    /// The request is quarantined: it is assumed to have crashed upstreams.
     Quarantined,
     /// The platform's log can't be reached, and the request may not run without it.
     LogUnavailable,
-    /// The idempotency key is older than the log surely keeps.
+    /// The idempotency key is older than the log's guaranteed retention.
     KeyTooOld,
-    /// The same idempotency key is running now.
+    /// A request with the same idempotency key is running.
     StillRunning,
-    /// The same idempotency key was tried before, and its outcome isn't known.
+    /// A request with the same idempotency key was tried before, with unknown outcome.
     OutcomeUnknown,
-    /// This router is stopping.
+    /// This router is draining.
     Draining,
 }
 
-/// What a refused caller may believe about its request.
+/// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RunState {
@@ -68,19 +68,19 @@
     Unknown,
 }
 
-/// A final answer to a request that won't be served.
+/// The final answer to a request that won't be served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Cause of the refusal.
     pub cause: Cause,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub run: RunState,
-    /// When to come back, in milliseconds from now; zero means that coming back won't help.
+    /// When to retry, in milliseconds from now; zero if a retry can't help.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// A refusal of a request that reached no upstream.
+    /// Refuses a request that reached no upstream.
     ///
     /// ```
     /// use cassiagrade::decide::refusal::{Cause, Refusal, RunState};
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that may have run.
     ///
     /// ```
     /// use cassiagrade::decide::refusal::{Cause, Refusal, RunState};
@@ -110,10 +110,10 @@
     }
 }
 
-/// When to come back to a router that has just started and knows no configuration yet.
+/// Retry time given by a router that has just started and has no configuration yet.
 pub(crate) const STARTING_MS: u64 = 300;
 
-/// Spreads `base_ms` over `[base, 1.5 base]`, so that callers refused together return apart.
+/// Spreads `base_ms` over `[base, 1.5 base]`, so that callers refused together retry apart.
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,30 +1,30 @@
-//! Whether, when and where a failed try may be repeated.
+//! Whether and when a failed attempt may be retried.
 //!
-//! Load pattern: an upstream fails, and every caller's request is tried again at the next one.
-//! Without a budget, retries multiply the load just when the pool is weakest, and the pool stays
-//! down when the cause has gone (a retry storm).
+//! Load pattern: an upstream fails, and every caller's request is retried at the next one. Without
+//! a budget, retries multiply the load just when the pool is weakest, and the pool stays down after
+//! the cause is gone (a retry storm).
 //!
-//! The budget is a share of the first tries, as in gRPC's retry throttling: each first try earns
-//! a fraction of a token, each retry takes one. Pauses grow exponentially with full jitter
-//! (Brooker, "Exponential backoff and jitter", 2015), so that requests that failed together don't
-//! return together. A decision costs a few comparisons.
+//! The budget is a share of the first attempts, as in gRPC's retry throttling: each first attempt
+//! earns a fraction of a token, each retry takes one. Pauses grow exponentially with full jitter
+//! (Brooker, "Exponential backoff and jitter", 2015), so that requests that failed together aren't
+//! retried together. A decision costs a few comparisons.
 
 use rand::Rng;
 
-/// Share of first tries that may be repeated, unless the policy says otherwise. A pool
-/// that fails everything gets so much more load; one failing engine of a dozen is covered.
+/// Default share of first attempts that may be retried. It bounds the extra load of a pool that
+/// fails everything, and covers one failing engine of a dozen.
 pub const DEFAULT_SHARE: f64 = 0.2;
-/// Retries that may come at once after a quiet time.
+/// Retries that may be made at once after a quiet period.
 const BURST: f64 = 10.0;
-/// The first pause is drawn from up to this; a third of a usual request's first token.
+/// Upper bound of the first pause; a third of a typical request's time to first token.
 const BASE_MS: u64 = 20;
-/// No pause is drawn from more.
+/// Upper bound of all pauses.
 const MAX_PAUSE_MS: u64 = 1_000;
 
-/// What is known of a failed try.
+/// A failed attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailedAttempt {
-    /// A byte of the request may have left, and it must not run twice.
+    /// A byte of the request may have been sent, and it must not run twice.
     pub may_have_run: bool,
     /// Retries made so far.
     pub retries: u32,
@@ -32,7 +32,7 @@
     pub remaining_ms: u64,
 }
 
-/// The retries a router may still make.
+/// Token bucket that limits a router's retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -41,7 +41,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget for `share` of the first tries.
+    /// Creates a full budget for retries of `share` of the first attempts.
     ///
     /// ```
     /// use cassiagrade::decide::retry::{RetryBudget, FailedAttempt};
@@ -57,7 +57,7 @@
         Self::with_burst(share, BURST)
     }
 
-    /// A full budget for `share` of the first tries and `burst` that may come at once.
+    /// Creates a full budget for `share` of the first attempts and `burst` retries at once.
     pub fn with_burst(share: f64, burst: f64) -> Self {
         Self {
             share,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Changes how many may come at once.
+    /// Changes how many retries may be made at once.
     pub fn set_burst(&mut self, burst: f64) {
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Takes one retry that starts at once; `false` if there must be none.
+    /// Takes one immediate retry; `false` if none is allowed.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -86,12 +86,12 @@
         self.share = share;
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn first_try(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// How long to wait before the next try, or `None` if there must be none.
+    /// Returns the pause before the next attempt, or `None` if none is allowed.
     pub fn pause_ms<R: Rng>(&mut self, failed: FailedAttempt, rng: &mut R) -> Option<u64> {
         if failed.may_have_run || self.tokens < 1.0 {
             return None;
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -1,29 +1,29 @@
-//! What is given up first when the upstreams can't keep up for longer than a burst.
+//! Load shedding by priority class when upstreams are overloaded for longer than a burst.
 //!
-//! Load pattern: a brown-out, more work than the pool can do for many seconds. Without shedding,
-//! every class waits in the same full queue, and when the load falls everybody who was refused
-//! comes back together: a second peak.
+//! Load pattern: more work than the pool can do for many seconds. Without shedding, every class
+//! waits in the same full queue, and when the load falls all refused callers return together: a
+//! second peak.
 //!
-//! The control law is additive increase and a slower additive decrease of a shed level, judged
-//! once an interval by the shortest wait seen in it (as CoDel judges a queue: Nichols and
-//! Jacobson, 2012): a burst that drains within the interval sheds nothing. The level is a real
-//! number: class `i` of the order is refused with probability `level - i`, so that recovery lets
-//! a class back in by tenths. One decision costs one comparison and one random number.
+//! The control law is additive increase and a slower additive decrease of a shed level, evaluated
+//! once per interval by the shortest wait in it (as CoDel evaluates a queue: Nichols and Jacobson,
+//! 2012): a burst that drains within the interval sheds nothing. The level is a real number: class
+//! `i` of the order is refused with probability `level - i`, so that recovery readmits a class by
+//! tenths. A decision costs one comparison and one random number.
 
 use rand::Rng;
 
 use crate::decide::Priority;
 
-/// How often the level is judged. Longer than a slot's turn-over in either site's pools.
+/// Evaluation interval. Longer than the turnover of a slot in both sites' pools.
 pub const INTERVAL_MS: u64 = 500;
-/// The wait that is held to be a standing queue rather than a burst.
+/// Shortest wait in an interval from which the queue counts as standing rather than a burst.
 pub const TARGET_WAIT_MS: u64 = 1_000;
-/// Added to the level after an interval above the target: a class is shed whole after 2 s.
+/// Added to the level after an interval above the target: a class is shed completely after 2 s.
 const RISE: f64 = 0.25;
-/// Taken off after an interval below it: a class is let in again over 5 s.
+/// Subtracted after an interval below it: a class is readmitted over 5 s.
 const FALL: f64 = 0.1;
 
-/// The shed level of one upstream.
+/// Shed level of one upstream.
 #[derive(Clone, Debug)]
 pub struct Shedder {
     order: Vec<Priority>,
@@ -33,7 +33,7 @@
 }
 
 impl Shedder {
-    /// Sheds the classes of `order`, first to last; a class that isn't listed is never shed.
+    /// Sheds the classes of `order`, first to last; an unlisted class is never shed.
     ///
     /// ```
     /// use cassiagrade::decide::{Priority, shed::Shedder};
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the current wait of the oldest waiting job.
+    /// Records the current wait of the oldest waiting job.
     pub fn observe(&mut self, wait_ms: u64, now_ms: u64) {
         let least = self.least_wait_ms.unwrap_or(u64::MAX);
         self.least_wait_ms = Some(least.min(wait_ms));
@@ -63,7 +63,7 @@
         }
         self.judged_ms = now_ms;
         let standing = self.least_wait_ms.take() > Some(TARGET_WAIT_MS);
-        // Long silence is a long time without a queue.
+        // Intervals without a call had no standing queue.
         let change = if standing {
             RISE
         } else {
@@ -72,7 +72,7 @@
         self.level = (self.level + change).clamp(0.0, self.order.len() as f64);
     }
 
-    /// The share of `priority` that is refused now.
+    /// Returns the share of jobs of `priority` to refuse now.
     pub fn share(&self, priority: Priority) -> f64 {
         let at = self.order.iter().position(|p| *p == priority);
         at.map_or(0.0, |at| (self.level - at as f64).clamp(0.0, 1.0))
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -1,61 +1,63 @@
-//! Which upstream one request goes to, when the router that has it sends it there itself.
+//! Selection of an upstream for one request by the router that received it.
 //!
-//! Load pattern: prompts begin with parts that many others share, and a part is read once and then
-//! served from an upstream's cache. Sent anywhere, each upstream reads every part anew; sent by the
-//! part alone, a part that much of the traffic asks for overloads its one upstream while the others
-//! idle, and all its callers wait.
+//! Load pattern: prompts begin with parts that many others share, and a part is prefilled once and
+//! then served from an upstream's cache. With requests sent to any upstream, each upstream prefills
+//! every part; with requests sent by part alone, a part common in the traffic overloads its one
+//! upstream while the others idle, and all its callers wait.
 //!
-//! So a request goes to the first upstream of its part's own order (highest random weight, alike on
-//! every router) that holds no more than [`BOUND_FACTOR`] times the pool's mean and
-//! [`BOUND_SLACK`]: consistent hashing with bounded loads. A part so spreads to a second upstream
-//! only while its first is near the bound, and always to the same second. Without shared parts it
-//! goes to the upstream with the least running, to one of the same data centre if equal. A decision
-//! costs one multiply-mix an upstream.
+//! So a request goes to the first upstream of its part's own order (highest random weight, the same
+//! on every router) that has no more than [`BOUND_FACTOR`] times the pool's mean and
+//! [`BOUND_SLACK`]: consistent hashing with bounded loads. A part thus spreads to a second upstream
+//! only while its first is near the bound, and always to the same second. Without shared parts a
+//! request goes to the least loaded upstream, of equals to one in the same data centre. A decision
+//! costs one multiply-mix per upstream.
 //!
-//! Load pattern: many routers, and requests that are over sooner than the routers tell one another of them. All choose
-//! the upstream that had the least, meet there, and one in ten is turned away while others idle. So counts that are
-//! older than most requests last are left out: a router then goes by its own, and chance parts the rest evenly.
+//! Load pattern: many routers, and requests that end sooner than the routers exchange their counts.
+//! All choose the upstream that had the fewest, and one in ten requests is refused there while other
+//! upstreams idle. So counts older than the duration of most requests are ignored: a router then
+//! uses its own counts, and random choice spreads the rest evenly.
 
 use rand::Rng;
 
 use crate::util;
 
-/// Times the pool's mean that an upstream may hold. Well below where callers notice the longer
-/// pauses between tokens, as the loads that other routers told are a little old.
+/// Multiple of the pool's mean that an upstream may have. Well below where callers notice longer
+/// pauses between tokens, because the counts of other routers are slightly stale.
 pub const BOUND_FACTOR: f64 = 1.4;
-/// Times the mean of the pool with those that are spared that an upstream may hold: where a data centre is evacuated, the
-/// others hold more than the mean of all as it is, and hot parts come on top.
+/// Multiple of the mean over the pool with its withheld upstreams: if a data centre is evacuated,
+/// the other upstreams exceed that mean anyway, and frequent parts add to it.
 pub const WHOLE_FACTOR: f64 = 1.7;
-/// Requests beyond that: with few in flight a factor alone would move parts at every request.
+/// Requests beyond the mean: with few in flight, a factor alone would move parts at each request.
 pub const BOUND_SLACK: f64 = 2.0;
 
-/// One upstream of the pool, as the router believes it now.
+/// An upstream of the pool with its current state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
     /// Hash of its id.
     pub id_hash: u64,
     /// Requests of all routers that run or wait there.
     pub running: u32,
-    /// Those of this router.
+    /// Requests of this router that run or wait there.
     pub own: u32,
-    /// What it runs at once; 0 if it doesn't say.
+    /// Requests that it runs at once; 0 if unknown.
     pub slots: u32,
     /// It is in this router's data centre.
     pub is_local: bool,
-    /// It fails or leaves, or this request was there.
+    /// It fails or drains, or this request was already tried there.
     pub excluded: bool,
-    /// It lives and gets no work by this router's choice, as it is evacuated or cold.
+    /// It is alive but gets no work from this router, because it is evacuated or cold.
     pub withheld: bool,
-    /// It has been there long enough to hold shared parts, and can be asked for them.
+    /// It has been there long enough to have shared parts cached, and can be asked for them.
     pub has_parts: bool,
 }
 
-/// Draws what the other routers have running at each upstream, worked out from the `share` of them that was heard, towards
-/// the pool's mean.
+/// Shrinks the other routers' request counts, estimated from the `share` of routers whose reports
+/// arrived, towards the pool's mean.
 ///
-/// Failure guarded against: with half of the routers heard, an upstream that runs three requests looks like one that runs
-/// six as often as not, its parts spread to others, and these read them anew. The best guess of one count would
-/// draw by the share itself; a hot part's upstream could then stand at over twice the mean, so it is the root.
+/// Failure guarded against: with reports of half of the routers, an upstream with three requests
+/// often looks like one with six. Its parts then spread to other upstreams, which prefill them
+/// again. The best estimate of a single count would shrink by the share itself, but then a frequent
+/// part's upstream could have more than twice the mean, so the factor is the square root.
 ///
 /// ```
 /// use cassiagrade::decide::spread::shrink_to_mean;
@@ -71,17 +73,17 @@
     }
 }
 
-/// Whether what the other routers told of their requests still says something.
+/// Whether the request counts of other routers are still useful.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Counts {
-    /// Half of the requests that were told of still run, or more.
+    /// At least half of the counted requests still run.
     Current,
-    /// Most of them are over.
+    /// Most of the counted requests have ended.
     Stale,
 }
 
 impl Counts {
-    /// What counts of this age say where requests usually take `usual_ms`, or an unknown time if that is `None`.
+    /// Classifies counts of this age where requests typically take `usual_ms`, if that is known.
     ///
     /// ```
     /// use cassiagrade::decide::spread::Counts;
@@ -90,27 +92,27 @@
     /// assert_eq!(Counts::of_age(200.0, None), Counts::Current);
     /// ```
     pub fn of_age(age_ms: f64, usual_ms: Option<f64>) -> Self {
-        // Requests that end at random: half are over after this part of their mean.
+        // With exponentially distributed durations, half have ended after this part of the mean.
         let is_old = usual_ms.is_some_and(|usual_ms| age_ms > usual_ms * std::f64::consts::LN_2);
         if is_old { Self::Stale } else { Self::Current }
     }
 }
 
-/// Where a request goes.
+/// Selected upstream of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Selection {
-    /// The seat.
+    /// Index of the candidate.
     pub at: usize,
-    /// The seat that likely holds the shared parts, if that is another.
+    /// Index of the candidate that likely has the shared parts cached, if that is another one.
     pub source: Option<usize>,
 }
 
-/// What keeps a part from its first upstream.
+/// When a request can't go to the first upstream of its part.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Bound {
-    /// It holds [`BOUND_FACTOR`] times the pool's mean and [`BOUND_SLACK`], or all its slots are taken.
+    /// It has [`BOUND_FACTOR`] times the pool's mean and [`BOUND_SLACK`], or no free slot.
     ByMean,
-    /// All its slots are taken.
+    /// It has no free slot.
     BySlots,
 }
 
@@ -133,16 +135,16 @@
     }
 }
 
-/// The mean load of the seats that count.
+/// Returns the mean load of the candidates that match `counts`.
 fn mean(pool: &[Candidate], counts: impl Fn(&Candidate) -> bool) -> f64 {
     let counted = pool.iter().filter(|s| counts(s));
     let (count, sum) = counted.fold((0_u32, 0_u32), |(n, sum), s| (n + 1, sum + s.running));
     f64::from(sum) / f64::from(count.max(1))
 }
 
-/// The seat for a request whose last shared part is `part`, and where that part is likely cached if
-/// not there: at the first of the part's order. Fetching a part from there takes a
-/// fraction of the time that reading it anew takes, of the upstream's time too.
+/// Selects a candidate for a request whose last shared part is `part`, and as the source of that
+/// part the first candidate of its order. Fetching a part takes a fraction of the time of prefilling
+/// it, also of the upstream's time.
 ///
 /// ```
 /// use cassiagrade::decide::spread::{Bound, Candidate, by_part};
@@ -165,8 +167,9 @@
     Some(Selection { at, source })
 }
 
-/// The seat with the least running; of equals a near one, of those any. Where the others' counts are old, the one where
-/// this router runs the least; of those any, as one near to all of a data centre's routers would get their burst.
+/// Selects the candidate with the fewest requests, of equals one in the same data centre, of those a
+/// random one. With stale counts, selects a random one of those with the fewest requests of this
+/// router; all routers of a data centre would send their burst to the same near one.
 ///
 /// ```
 /// use cassiagrade::decide::spread::{Counts, Candidate, by_load};
--- a/src/decide/take_over.rs
+++ b/src/decide/take_over.rs
@@ -1,11 +1,11 @@
-//! What a new home believes of the work that an earlier one started.
+//! A new home's estimate of the work that the upstream's earlier home started.
 //!
-//! Load pattern: routers come and go, and their upstreams change homes with jobs in flight.
-//! Without slow start a new home takes a busy upstream for an idle one and doubles its load.
-//! It counts the last reported work as its own and lets it fade linearly; the upstream's own
-//! reports, which lag, only ever lower it. Costs a multiplication a decision.
+//! Load pattern: routers come and go, and their upstreams change homes with jobs in flight. Without
+//! the estimate, a new home takes a busy upstream for an idle one and doubles its load. So it counts
+//! the last reported work as its own and lets it decay linearly; the upstream's own reports, which
+//! lag, only ever lower it. Costs a multiplication per decision.
 
-/// Over which a new home's inherited work fades: twice the mean job of the trial's model.
+/// Time in which inherited work decays: twice the duration of a mean job.
 pub const TAKE_OVER_MS: u64 = 10_000;
 
 /// Work that an earlier home started.
@@ -25,21 +25,21 @@
         }
     }
 
-    /// Jobs believed to run still.
+    /// Returns the estimated number of jobs still running.
     pub(crate) fn jobs(&self, now_ms: u64) -> f64 {
         self.jobs * self.left(now_ms)
     }
 
-    /// Their work in engine milliseconds.
+    /// Returns their estimated work in engine milliseconds.
     pub(crate) fn work_ms(&self, now_ms: u64) -> f64 {
         self.work_ms * self.left(now_ms)
     }
 
-    /// Takes the upstream's word that it runs `jobs` which this home didn't start.
+    /// Lowers the estimate to the upstream's report that it runs `jobs` not started by this home.
     ///
-    /// With nothing inherited there is nothing to lower. A report that lags behind this home's own
-    /// first job would else divide zero by zero, and a home that believes in "not a number" jobs
-    /// never has a free slot again: its queue would stand still.
+    /// Failure guarded against: with nothing inherited, a report that lags behind this home's own
+    /// first job would divide zero by zero. The home would then count NaN jobs and never have a free
+    /// slot again.
     pub(crate) fn correct(&mut self, jobs: f64, now_ms: u64) {
         let believed = self.jobs(now_ms);
         if believed > 0.0 && jobs < believed {
--- a/src/decide/types.rs
+++ b/src/decide/types.rs
@@ -1,4 +1,4 @@
-//! The nouns that all decisions share.
+//! Types shared by the decision modules.
 
 use strum::{Display, EnumString, IntoStaticStr, VariantNames};
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct JobId(pub u64);
 
-/// Priority class of a request; the order is from most to least urgent.
+/// Priority class of a request, ordered from most to least urgent.
 #[derive(
     Clone,
     Copy,
@@ -45,27 +45,27 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Priority {
-    /// A person waits on the bench.
+    /// Interactive: a person waits for the answer.
     Urgent,
-    /// The usual class.
+    /// Default class.
     #[default]
     Normal,
-    /// Work that may wait.
+    /// Deferrable work.
     Batch,
 }
 
-/// What a job is expected to cost, in tokens.
+/// Expected cost of a job, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// Prompt length.
     pub prompt_tokens: u32,
-    /// How many of the prompt's tokens are expected in the engine's prefix cache.
+    /// Prompt tokens that are expected in the engine's prefix cache.
     pub cached_tokens: u32,
-    /// Expected answer length.
+    /// Expected length of the answer.
     pub output_tokens: u32,
 }
 
-/// What a token costs an engine, in milliseconds of engine time.
+/// Cost of a token or request at an engine, in milliseconds of engine time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
     /// Per uncached prompt token.
@@ -77,7 +77,7 @@
 }
 
 impl Default for Rates {
-    /// Of a middling engine; only proportions between requests matter.
+    /// Rates of a mid-range engine; only the proportions between requests matter.
     fn default() -> Self {
         Self {
             prefill_ms: 0.125,
@@ -88,7 +88,7 @@
 }
 
 impl Cost {
-    /// Expected engine time in milliseconds.
+    /// Returns the expected engine time in milliseconds.
     ///
     /// ```
     /// use cassiagrade::decide::{Cost, Rates};
@@ -104,38 +104,38 @@
     }
 }
 
-/// One request as an upstream's home sees it.
+/// A request as the upstream's home sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Unique at this home.
     pub id: JobId,
-    /// Who pays.
+    /// Client account that sent it.
     pub account: Name,
-    /// The account's weight in the fair queue.
+    /// Weight of the account in the fair queue.
     pub weight: f64,
-    /// Its class.
+    /// Priority class.
     pub priority: Priority,
-    /// The chat whose prefix it extends.
+    /// Chat whose prefix it extends.
     pub chat: ChatKey,
-    /// Expected cost; `cached_tokens` is set by the home from its warm memory.
+    /// Expected cost; the home sets `cached_tokens` from its record of cached chats.
     pub cost: Cost,
-    /// When its caller stops waiting, on the router's monotonic clock.
+    /// Deadline of its caller, on the router's monotonic clock.
     pub deadline_ms: u64,
-    /// Every other choice was tried: queue it here rather than answer "over bound".
+    /// Every other upstream was tried: queue it here rather than answer "over bound".
     pub last_choice: bool,
-    /// It was in flight where an upstream died: it may run only alone among such.
+    /// It was in flight at an upstream that died, so no other suspect may run beside it.
     pub suspect: bool,
 }
 
-/// The pool an upstream belongs to, as gossip last told it.
+/// Load of the pool that an upstream belongs to, as last received by gossip.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolView {
     /// Mean work in flight per upstream, in engine milliseconds.
     pub mean_work_ms: f64,
     /// Upstreams that take work.
     pub upstreams: u32,
-    /// Those whose load is known.
+    /// Upstreams whose load is known.
     pub known: u32,
-    /// Jobs that the others of the pool could start at once.
+    /// Jobs that the other upstreams of the pool could start at once.
     pub free_slots: u32,
 }
