--- a/benches/policies/sim/mod.rs
+++ b/benches/policies/sim/mod.rs
@@ -272,7 +272,7 @@
         for (chat, tokens) in chats {
             let next = self.alive[self.pool.first(chat, 1)[0]];
             self.engines[next].cache.put(chat, tokens, tokens.into());
-            self.homes[next].warmed(chat, tokens);
+            self.homes[next].set_cached(chat, tokens);
         }
     }
 }
--- a/benches/policies/sim/routers.rs
+++ b/benches/policies/sim/routers.rs
@@ -233,7 +233,7 @@
             return 0.0;
         }
         self.engines[engine].cache.put(chat, there, there.into());
-        self.homes[engine].warmed(chat, there);
+        self.homes[engine].set_cached(chat, there);
         placement::import_ms(there)
     }
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -44,12 +44,12 @@
 /// Shortest retry time: anything less would only add load.
 const MIN_RETRY_MS: u64 = 100;
 /// Weight of the newest request in the moving average of the time per work.
-const PACE_GAIN: f64 = 1.0 / 16.0;
+const EWMA_GAIN: f64 = 1.0 / 16.0;
 /// Factor on that weight in the typical duration if the request took longer than typical: queueing
 /// at the upstreams must not be mistaken for longer requests.
-const SLOW_PART: f64 = 0.25;
+const SLOW_GAIN_FACTOR: f64 = 0.25;
 /// Samples needed before the time per work may cause a refusal.
-const PACE_SAMPLES: u32 = 8;
+const MIN_SAMPLES: u32 = 8;
 
 /// How much of a service one router may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -98,7 +98,7 @@
 
 /// How long a request may wait, in a standing queue and in a burst.
 #[derive(Clone, Copy, Debug)]
-struct Patience {
+struct WaitLimit {
     in_time_ms: u64,
     burst_ms: u64,
 }
@@ -107,13 +107,13 @@
 #[derive(Debug, Default)]
 pub struct Admission {
     queue: ClassQueue,
-    patience: HashMap<JobId, Patience>,
+    wait_limits: HashMap<JobId, WaitLimit>,
     running: HashMap<JobId, Started>,
-    pushed_out: Vec<JobId>,
+    evicted: Vec<JobId>,
     waiting_since_ms: Option<u64>,
     /// Slot time in milliseconds per unit of estimated work.
-    pace: f64,
-    paced: u32,
+    time_per_work: f64,
+    samples: u32,
     /// Moving average of a request's duration.
     usual_ms: f64,
     /// Shortest objective of all requests so far.
@@ -139,45 +139,45 @@
 
     /// Returns a request's typical duration once there are enough samples.
     pub fn usual_ms(&self) -> Option<f64> {
-        (self.paced >= PACE_SAMPLES).then_some(self.usual_ms)
+        (self.samples >= MIN_SAMPLES).then_some(self.usual_ms)
     }
 
     /// Returns how many requests per slot of the service are worth sending; see `allowance`.
-    pub fn fill(&self) -> f64 {
+    pub fn requests_per_slot(&self) -> f64 {
         let objective_ms = self.objective_ms.unwrap_or(0) as f64;
-        allowance::fill(self.usual_ms, objective_ms * IN_TIME_SHARE)
+        allowance::requests_per_slot(self.usual_ms, objective_ms * IN_TIME_SHARE)
     }
 
     /// Decides on a new request.
     pub fn offer<R: Rng>(
         &mut self,
-        ask: AdmissionRequest,
+        request: AdmissionRequest,
         quota: Quota,
         now_ms: u64,
         rng: &mut R,
     ) -> Offer {
-        let AdmissionRequest { job, objective_ms } = ask;
+        let AdmissionRequest { job, objective_ms } = request;
         let shortest_ms = self.objective_ms.get_or_insert(objective_ms);
         *shortest_ms = objective_ms.min(*shortest_ms);
         let work_ms = work_ms(&job);
-        if self.queue.is_empty() && self.has_place(quota) {
+        if self.queue.is_empty() && self.has_slot(quota) {
             self.queue.charge(&job, work_ms);
             self.start(job.id, work_ms, now_ms);
             return Offer::Start;
         }
-        let patience = self.patience(&job, objective_ms, now_ms);
-        let latest_ms = patience.latest_ms(self.must_be_in_time(quota, now_ms));
+        let wait_limits = self.wait_limits(&job, objective_ms, now_ms);
+        let latest_ms = wait_limits.latest_ms(self.is_standing(quota, now_ms));
         let start_ms = now_ms as f64 + self.wait_ms(&job, quota);
         if !quota.has_spare && start_ms > latest_ms as f64 {
             return Offer::Refused(self.refusal(Cause::Full, work_ms, quota, rng));
         }
         if self.queue.len() >= MAX_WAITING {
-            match self.queue.push_out(&job, work_ms) {
-                Some(out) => self.pushed_out.push(out.job.id),
+            match self.queue.evict(&job, work_ms) {
+                Some(out) => self.evicted.push(out.job.id),
                 None => return Offer::Refused(self.refusal(Cause::QueueFull, work_ms, quota, rng)),
             }
         }
-        self.patience.insert(job.id, patience);
+        self.wait_limits.insert(job.id, wait_limits);
         self.queue.push(job, work_ms, now_ms);
         self.waiting_since_ms.get_or_insert(now_ms);
         Offer::Wait
@@ -186,30 +186,30 @@
     /// Returns the next request whose wait is over; call until `None`.
     pub fn poll<R: Rng>(&mut self, quota: Quota, now_ms: u64, rng: &mut R) -> Option<Ready> {
         let ready = self.next(quota, now_ms, rng);
-        self.forget_empty_queue();
+        self.reset_if_empty();
         if let Some(Ready::Start(id) | Ready::Refused(id, _)) = &ready {
-            self.patience.remove(id);
+            self.wait_limits.remove(id);
         }
         ready
     }
 
     fn next<R: Rng>(&mut self, quota: Quota, now_ms: u64, rng: &mut R) -> Option<Ready> {
-        if let Some(id) = self.pushed_out.pop() {
+        if let Some(id) = self.evicted.pop() {
             let refusal = self.refusal(Cause::QueueFull, 0.0, quota, rng);
             return Some(Ready::Refused(id, refusal));
         }
-        let in_time = self.must_be_in_time(quota, now_ms);
-        let patience = &self.patience;
-        let is_lost = |id: &JobId| {
-            patience
+        let in_time = self.is_standing(quota, now_ms);
+        let wait_limits = &self.wait_limits;
+        let is_overdue = |id: &JobId| {
+            wait_limits
                 .get(id)
                 .is_some_and(|p| now_ms > p.latest_ms(in_time))
         };
-        if let Some(lost) = self.queue.take_lost(|w| is_lost(&w.job.id)) {
-            let refusal = self.refusal(Cause::Full, lost.work_ms, quota, rng);
-            return Some(Ready::Refused(lost.job.id, refusal));
+        if let Some(overdue) = self.queue.take_matching(|w| is_overdue(&w.job.id)) {
+            let refusal = self.refusal(Cause::Full, overdue.work_ms, quota, rng);
+            return Some(Ready::Refused(overdue.job.id, refusal));
         }
-        if !self.has_place(quota) {
+        if !self.has_slot(quota) {
             return None;
         }
         let next = self.queue.pop()?;
@@ -220,15 +220,15 @@
     /// Removes a request that ended or whose caller disconnected.
     pub fn finish(&mut self, id: JobId, now_ms: u64) {
         if let Some(started) = self.running.remove(&id) {
-            self.learn_pace(started, now_ms);
+            self.update_time_per_work(started, now_ms);
         }
         if self.queue.remove(id).is_some() {
-            self.patience.remove(&id);
+            self.wait_limits.remove(&id);
         }
-        self.forget_empty_queue();
+        self.reset_if_empty();
     }
 
-    fn patience(&self, job: &Job, objective_ms: u64, now_ms: u64) -> Patience {
+    fn wait_limits(&self, job: &Job, objective_ms: u64, now_ms: u64) -> WaitLimit {
         let left_ms = job.deadline_ms.saturating_sub(now_ms) as f64;
         let burst_ms = left_ms * BURST_SHARE;
         let half_ms = objective_ms as f64 * IN_TIME_SHARE;
@@ -240,7 +240,7 @@
                 (in_time_ms, in_time_ms)
             }
         };
-        Patience {
+        WaitLimit {
             in_time_ms: now_ms + in_time_ms as u64,
             burst_ms: now_ms + burst_ms as u64,
         }
@@ -250,16 +250,16 @@
     /// `None` if requests don't queue there or there are too few samples.
     fn upstream_ms(&self) -> Option<f64> {
         let queues_there = self.usual_ms().is_some_and(allowance::is_short);
-        queues_there.then(|| (self.fill() + 1.0) * self.usual_ms)
+        queues_there.then(|| (self.requests_per_slot() + 1.0) * self.usual_ms)
     }
 
-    fn forget_empty_queue(&mut self) {
+    fn reset_if_empty(&mut self) {
         if self.queue.is_empty() {
             self.waiting_since_ms = None;
         }
     }
 
-    fn has_place(&self, quota: Quota) -> bool {
+    fn has_slot(&self, quota: Quota) -> bool {
         self.running.len() < quota.allowed as usize
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// Whether the queue is standing, so that requests may wait only while they can be in time.
-    fn must_be_in_time(&self, quota: Quota, now_ms: u64) -> bool {
+    fn is_standing(&self, quota: Quota, now_ms: u64) -> bool {
         let since_ms = self.waiting_since_ms.unwrap_or(now_ms);
         !quota.has_spare && now_ms.saturating_sub(since_ms) >= STANDING_MS
     }
@@ -280,10 +280,10 @@
 
     /// Returns how long the quota takes to drain `work_ms`; zero until there are enough samples.
     fn drain_ms(&self, work_ms: f64, quota: Quota) -> f64 {
-        if self.paced < PACE_SAMPLES {
+        if self.samples < MIN_SAMPLES {
             return 0.0;
         }
-        work_ms * self.pace / f64::from(quota.allowed.max(1))
+        work_ms * self.time_per_work / f64::from(quota.allowed.max(1))
     }
 
     fn refusal<R: Rng>(&self, cause: Cause, work_ms: f64, quota: Quota, rng: &mut R) -> Refusal {
@@ -292,22 +292,22 @@
         Refusal::not_run(cause, jittered_ms(base_ms, rng))
     }
 
-    fn learn_pace(&mut self, started: Started, now_ms: u64) {
+    fn update_time_per_work(&mut self, started: Started, now_ms: u64) {
         let took_ms = now_ms.saturating_sub(started.at_ms) as f64;
-        let pace = took_ms / started.work_ms.max(1.0);
-        let gain = PACE_GAIN.max(1.0 / f64::from(self.paced + 1));
-        self.pace += gain * (pace - self.pace);
-        let gain = if took_ms > self.usual_ms && self.paced > PACE_SAMPLES {
-            gain * SLOW_PART
+        let time_per_work = took_ms / started.work_ms.max(1.0);
+        let gain = EWMA_GAIN.max(1.0 / f64::from(self.samples + 1));
+        self.time_per_work += gain * (time_per_work - self.time_per_work);
+        let gain = if took_ms > self.usual_ms && self.samples > MIN_SAMPLES {
+            gain * SLOW_GAIN_FACTOR
         } else {
             gain
         };
         self.usual_ms += gain * (took_ms - self.usual_ms);
-        self.paced = self.paced.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 }
 
-impl Patience {
+impl WaitLimit {
     fn latest_ms(self, in_time: bool) -> u64 {
         if in_time {
             self.in_time_ms
--- a/src/decide/admission_tests.rs
+++ b/src/decide/admission_tests.rs
@@ -10,8 +10,8 @@
     has_spare: false,
 };
 
-/// 400 ms in a place by the default rates, to be answered within 500 ms, given up after 6 s.
-fn ask(id: u64, account: &str, priority: Priority, now_ms: u64) -> AdmissionRequest {
+/// Takes 400 ms of a slot by the default rates, has an objective of 500 ms and a deadline of 6 s.
+fn request(id: u64, account: &str, priority: Priority, now_ms: u64) -> AdmissionRequest {
     AdmissionRequest {
         job: Job {
             id: JobId(id),
@@ -31,8 +31,8 @@
     }
 }
 
-/// Callers of one service, each kind at `per_s` requests a second; a place is taken for 100 to 700 ms.
-/// Counts what became of each.
+/// Simulates the callers of one service, each kind at `per_s` requests a second. A request occupies
+/// its slot for 100 to 700 ms.
 struct Callers {
     admission: Admission,
     rng: SmallRng,
@@ -46,7 +46,7 @@
     account: &'static str,
     priority: Priority,
     per_s: u64,
-    asked: u64,
+    received: u64,
     in_time: u64,
     late: u64,
     refused: u64,
@@ -82,13 +82,13 @@
     }
 
     fn arrive(&mut self, at: usize, now_ms: u64, quota: Quota) {
-        // Kind and time of arrival are read back from the id.
+        // The id encodes kind and arrival time.
         self.next += 1;
         let id = self.next * 1_000_000_000 + at as u64 * 100_000_000 + now_ms;
         let kind = &mut self.kinds[at];
-        kind.asked += 1;
-        let ask = ask(id, kind.account, kind.priority, now_ms);
-        match self.admission.offer(ask, quota, now_ms, &mut self.rng) {
+        kind.received += 1;
+        let request = request(id, kind.account, kind.priority, now_ms);
+        match self.admission.offer(request, quota, now_ms, &mut self.rng) {
             Offer::Start => self.started(JobId(id), now_ms),
             Offer::Wait => {}
             Offer::Refused(refusal) => {
@@ -100,10 +100,10 @@
     }
 
     fn end(&mut self, now_ms: u64, quota: Quota) {
-        let (over, running) = self.ends.iter().partition(|(at, _)| *at <= now_ms);
+        let (ended, running) = self.ends.iter().partition(|(at, _)| *at <= now_ms);
         self.ends = running;
-        let over: Vec<(u64, JobId)> = over;
-        for (_, id) in over {
+        let ended: Vec<(u64, JobId)> = ended;
+        for (_, id) in ended {
             self.admission.finish(id, now_ms);
         }
         while let Some(ready) = self.admission.poll(quota, now_ms, &mut self.rng) {
@@ -127,7 +127,7 @@
     }
 
     fn in_time(&self, at: usize) -> f64 {
-        self.kinds[at].in_time as f64 / self.kinds[at].asked as f64
+        self.kinds[at].in_time as f64 / self.kinds[at].received as f64
     }
 }
 
@@ -135,8 +135,8 @@
     usize::try_from(id.0 / 100_000_000 % 10).unwrap()
 }
 
-/// Ten times what the places can do, for ten seconds. First come, first served would make everybody
-/// late: each answer waits for all before it. Nearly all that the places do must be in time.
+/// Ten times the capacity of the slots for ten seconds. First come, first served would make every
+/// answer late, by the wait of all before it. Nearly all answers that the slots produce are in time.
 #[test]
 fn goodput_stays_at_ten_times_the_load() {
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
@@ -145,13 +145,13 @@
     // 10 places of 400 ms: 25 a second.
     assert!(
         in_time + late >= 245,
-        "places stayed empty: {in_time} + {late}"
+        "slots stayed empty: {in_time} + {late}"
     );
     assert!(in_time >= 190, "{in_time} in time, {late} late");
 }
 
-/// Urgent requests want half of the places, the least urgent want ten times all. Turned away at
-/// random, nine of ten urgent ones would be refused.
+/// Urgent requests need half of the slots, the least urgent ones ten times all of them. Refused at
+/// random, nine of ten urgent ones would fail.
 #[test]
 fn urgent_requests_are_served_before_others() {
     let kinds = [("a", Priority::Urgent, 12), ("a", Priority::Batch, 250)];
@@ -161,7 +161,8 @@
     assert!(callers.kinds[1].in_time > 60, "{:?}", callers.kinds);
 }
 
-/// One account sends ten times what the others send. It gets what they leave, and they don't notice.
+/// One account sends ten times what the others send. It gets the rest of the slots, and the other
+/// accounts are unaffected.
 #[test]
 fn account_at_ten_times_its_share_waits_behind_itself() {
     let kinds = [
@@ -176,8 +177,8 @@
     assert!(callers.kinds[2].in_time > 90, "{:?}", callers.kinds);
 }
 
-/// A burst of a quarter of a second, as large as the places do in 1.2 s. Nobody need be refused: all can
-/// be answered well before they stop waiting.
+/// A burst of a quarter of a second, as large as the capacity of 1.2 s. No request is refused: all
+/// can be answered well before their deadlines.
 #[test]
 fn short_burst_is_queued_not_refused() {
     let mut callers = Callers::new(&[("a", Priority::Normal, 120)]);
@@ -188,23 +189,23 @@
     assert_eq!(callers.admission.demand(), 0);
 }
 
-/// A surge ends. The next caller must find places within the time of one request, not behind a queue of
-/// those that nobody waits for any more.
+/// A surge ends. New callers get slots within the time of one request, and don't wait behind a
+/// queue of requests whose callers have given up.
 #[test]
 fn surge_leaves_no_queue_behind() {
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
     callers.run(0, 5_000, FULL);
     callers.kinds[0].per_s = 20;
-    callers.kinds[0].asked = 0;
+    callers.kinds[0].received = 0;
     callers.kinds[0].in_time = 0;
     callers.run(5_000 + STANDING_MS, 8_000, FULL);
     assert!(callers.in_time(0) > 0.9, "{:?}", callers.kinds);
 }
 
-/// The others leave places, but this router hasn't told yet that it wants more: its callers wait for the
-/// next telling and aren't refused beside idle upstreams.
+/// The other routers leave slots free, but this router hasn't reported its higher demand yet. Its
+/// callers wait for the next report and aren't refused while upstreams idle.
 #[test]
-fn nobody_is_refused_while_others_leave_places() {
+fn no_request_is_refused_while_others_leave_slots() {
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
     callers.run(0, 2_000, FULL);
     let refused = callers.kinds[0].refused;
@@ -216,18 +217,18 @@
     assert_eq!(callers.kinds[0].refused, refused);
 }
 
-/// A caller goes while it waits: its place in the queue must not start a request that nobody wants.
+/// A caller disconnects while its request waits; the request must not be started.
 #[test]
-fn caller_that_went_is_forgotten() {
+fn request_of_a_disconnected_caller_is_removed() {
     let mut admission = Admission::default();
     let mut rng = SmallRng::seed_from_u64(1);
     let quota = Quota {
         allowed: 1,
         has_spare: false,
     };
-    let first = admission.offer(ask(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
+    let first = admission.offer(request(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
     assert_eq!(first, Offer::Start);
-    let second = admission.offer(ask(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
+    let second = admission.offer(request(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
     assert_eq!(second, Offer::Wait);
     admission.finish(JobId(2), 1);
     admission.finish(JobId(1), 2);
@@ -235,59 +236,68 @@
     assert_eq!(admission.demand(), 0);
 }
 
-/// All who wait give up at once. Those who come later meet a new queue, a burst, not one that has stood for
-/// as long as nobody waited: they may wait until their time would be over.
+/// All waiting requests are withdrawn. Later ones meet a new queue, which is a burst, not one that has
+/// been standing since the first wait, so they may wait for as long as a burst's requests.
 #[test]
-fn queue_that_emptied_by_itself_is_a_new_one() {
+fn queue_that_emptied_without_starts_is_a_new_one() {
     let mut admission = Admission::default();
     let mut rng = SmallRng::seed_from_u64(1);
     let quota = Quota {
         allowed: 1,
         has_spare: false,
     };
-    admission.offer(ask(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
-    admission.offer(ask(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
+    admission.offer(request(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
+    admission.offer(request(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
     admission.finish(JobId(2), 1);
-    admission.offer(ask(3, "a", Priority::Normal, 5_000), quota, 5_000, &mut rng);
+    admission.offer(
+        request(3, "a", Priority::Normal, 5_000),
+        quota,
+        5_000,
+        &mut rng,
+    );
     assert_eq!(
         admission.poll(quota, 5_900, &mut rng),
         None,
-        "it still waits"
+        "request 3 still waits"
     );
 }
 
-/// A ticket: over in 60 ms, to be answered within 300 ms, given up after 1.5 s.
-fn ticket(id: u64, now_ms: u64) -> AdmissionRequest {
-    let mut ask = ask(id, "a", Priority::Normal, now_ms);
-    ask.job.deadline_ms = now_ms + 1_500;
-    ask.objective_ms = 300;
-    ask
+/// A short request: takes 60 ms, has an objective of 300 ms and a deadline of 1.5 s.
+fn short_request(id: u64, now_ms: u64) -> AdmissionRequest {
+    let mut request = request(id, "a", Priority::Normal, now_ms);
+    request.job.deadline_ms = now_ms + 1_500;
+    request.objective_ms = 300;
+    request
 }
 
-/// Tickets come in a burst. Upstreams have three for each of their places, so one that starts takes some 180 ms, and a
-/// long one 240 ms: it may wait here for the 60 ms that are left. Given the half of its objective that a longer request gets,
-/// or the 600 ms of a burst, all would come late, each behind the one before.
+/// Short requests arrive in a burst. Upstreams take three for each slot, so one that starts takes some
+/// 180 ms, a long one 240 ms, and it may wait here for the remaining 60 ms. Given half of its
+/// objective like a longer request, or the 600 ms of a burst, all would be late, each behind the one
+/// before.
 #[test]
-fn ticket_waits_for_what_the_upstreams_queue_leaves() {
+fn short_request_waits_for_what_the_upstreams_queue_leaves() {
     let (mut admission, mut rng) = (Admission::default(), SmallRng::seed_from_u64(1));
     for id in 0..40 {
-        let started = admission.offer(ticket(id, 0), FULL, 0, &mut rng);
+        let started = admission.offer(short_request(id, 0), FULL, 0, &mut rng);
         assert_eq!(started, Offer::Start);
         admission.finish(JobId(id), 60);
     }
-    assert_eq!(admission.fill(), 3.0);
+    assert_eq!(admission.requests_per_slot(), 3.0);
     for id in 100..110 {
-        let offer = admission.offer(ticket(id, 100), FULL, 100, &mut rng);
+        let offer = admission.offer(short_request(id, 100), FULL, 100, &mut rng);
         assert_eq!(offer, Offer::Start);
     }
-    // Ten places end a ticket each 6 ms.
-    let offers = (110..130).map(|id| admission.offer(ticket(id, 100), FULL, 100, &mut rng));
+    // Ten slots end a short request every 6 ms.
+    let offers = (110..130).map(|id| admission.offer(short_request(id, 100), FULL, 100, &mut rng));
     let offers: Vec<Offer> = offers.collect();
     let waiting = offers.iter().take_while(|o| **o == Offer::Wait).count();
     assert!((9..=11).contains(&waiting), "{waiting} wait");
     let refused = |o: &Offer| matches!(o, Offer::Refused(r) if r.run == RunState::NotRun);
     assert!(offers[waiting..].iter().all(refused), "at once, as not run");
     assert_eq!(admission.poll(FULL, 155, &mut rng), None);
-    let given_up = admission.poll(FULL, 165, &mut rng);
-    assert!(matches!(given_up, Some(Ready::Refused(..))), "{given_up:?}");
+    let refused_late = admission.poll(FULL, 165, &mut rng);
+    assert!(
+        matches!(refused_late, Some(Ready::Refused(..))),
+        "{refused_late:?}"
+    );
 }
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -18,9 +18,9 @@
 /// Share of the slots that the routers fill. With all slots taken, requests go to whichever slot
 /// becomes free instead of to the cached parts of their prompts, and every upstream prefills
 /// every part.
-const FILL: f64 = 0.9;
+const FILL_FACTOR: f64 = 0.9;
 /// Most requests per slot, however short they are: upstreams queue a few and refuse the rest.
-const MAX_FILL: f64 = 3.0;
+const MAX_REQUESTS_PER_SLOT: f64 = 3.0;
 /// Requests shorter than this end before the routers have exchanged reports of them.
 const SHORT_MS: f64 = 200.0;
 
@@ -33,15 +33,15 @@
 /// upstreams, whose queues all routers share, for as long as the callers' objective allows.
 ///
 /// ```
-/// use cassiagrade::decide::allowance::fill;
-/// assert_eq!(fill(50.0, 75.0), 2.5);
-/// assert_eq!(fill(2_000.0, 250.0), 0.9);
+/// use cassiagrade::decide::allowance::requests_per_slot;
+/// assert_eq!(requests_per_slot(50.0, 75.0), 2.5);
+/// assert_eq!(requests_per_slot(2_000.0, 250.0), 0.9);
 /// ```
-pub fn fill(usual_ms: f64, wait_ms: f64) -> f64 {
+pub fn requests_per_slot(usual_ms: f64, wait_ms: f64) -> f64 {
     if !is_short(usual_ms) {
-        return FILL;
+        return FILL_FACTOR;
     }
-    (1.0 + wait_ms / usual_ms.max(1.0)).min(MAX_FILL)
+    (1.0 + wait_ms / usual_ms.max(1.0)).min(MAX_REQUESTS_PER_SLOT)
 }
 
 /// Whether requests that typically take `usual_ms` queue at the upstreams.
@@ -49,7 +49,7 @@
     usual_ms < SHORT_MS
 }
 
-/// Returns the quota of a router with demand `own` for `places`, given the demands of the others.
+/// Returns the quota of a router with demand `own` for `slots`, given the demands of the others.
 ///
 /// ```
 /// use cassiagrade::decide::allowance::quota;
@@ -60,13 +60,13 @@
 /// let full = quota(100.0, 500, &[500, 10]);
 /// assert_eq!((full.allowed, full.has_spare), (45, false));
 /// ```
-pub fn quota(places: f64, own: u32, others: &[u32]) -> Quota {
-    let wanted = f64::from(own) + others.iter().map(|w| f64::from(*w)).sum::<f64>();
-    let spare = places - wanted;
+pub fn quota(slots: f64, own: u32, others: &[u32]) -> Quota {
+    let demand = f64::from(own) + others.iter().map(|w| f64::from(*w)).sum::<f64>();
+    let spare = slots - demand;
     let allowed = if spare > 0.0 {
         f64::from(own) + spare / (others.len() + 1) as f64
     } else {
-        fair_part(places, own, others)
+        fair_level(slots, own, others)
     };
     Quota {
         allowed: (allowed.ceil() as u32).max(1),
@@ -75,17 +75,17 @@
 }
 
 /// Returns the max-min fair level for a router that wants more than it.
-fn fair_part(places: f64, own: u32, others: &[u32]) -> f64 {
-    let mut wishes: Vec<f64> = others.iter().map(|w| f64::from(*w)).collect();
-    wishes.push(f64::from(own));
-    wishes.sort_by(f64::total_cmp);
-    let mut left = places;
-    for (met, wish) in wishes.iter().enumerate() {
-        let level = left / (wishes.len() - met) as f64;
-        if *wish > level {
+fn fair_level(slots: f64, own: u32, others: &[u32]) -> f64 {
+    let mut demands: Vec<f64> = others.iter().map(|w| f64::from(*w)).collect();
+    demands.push(f64::from(own));
+    demands.sort_by(f64::total_cmp);
+    let mut remaining = slots;
+    for (satisfied, demand) in demands.iter().enumerate() {
+        let level = remaining / (demands.len() - satisfied) as f64;
+        if *demand > level {
             return level;
         }
-        left -= wish;
+        remaining -= demand;
     }
     f64::from(own)
 }
--- a/src/decide/classes.rs
+++ b/src/decide/classes.rs
@@ -33,7 +33,7 @@
     now: f64,
 }
 
-fn place_of(priority: Priority) -> usize {
+fn index_of(priority: Priority) -> usize {
     let at = CLASSES.iter().position(|class| *class == priority);
     at.unwrap_or(CLASSES.len() - 1)
 }
@@ -62,7 +62,7 @@
     /// Appends a job to the queue of its account within its class.
     pub fn push(&mut self, job: Job, work_ms: f64, since_ms: u64) {
         let now = self.now;
-        let class = &mut self.classes[place_of(job.priority)];
+        let class = &mut self.classes[index_of(job.priority)];
         if class.queue.is_empty() {
             class.next = class.next.max(now);
         }
@@ -71,7 +71,7 @@
 
     /// Charges a job that starts without waiting to its class and account.
     pub fn charge(&mut self, job: &Job, work_ms: f64) {
-        let at = place_of(job.priority);
+        let at = index_of(job.priority);
         self.classes[at].queue.charge(job, work_ms);
         self.started(at, work_ms);
     }
@@ -88,25 +88,25 @@
 
     /// Takes the newest job of a class below that of `job`, or of its own class if that job's
     /// account is further ahead: a full queue evicts the least urgent work first.
-    pub fn push_out(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
-        let own = place_of(job.priority);
+    pub fn evict(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
+        let own = index_of(job.priority);
         for class in self.classes[own + 1..].iter_mut().rev() {
             // Any job of a lower class gives way, so it is compared with an empty account.
             let probe = Job {
                 account: "".into(),
                 ..job.clone()
             };
-            if let Some(out) = class.queue.push_out(&probe, 0.0) {
+            if let Some(out) = class.queue.evict(&probe, 0.0) {
                 return Some(out);
             }
         }
-        self.classes[own].queue.push_out(job, work_ms)
+        self.classes[own].queue.evict(job, work_ms)
     }
 
     /// Returns the work in engine milliseconds that would start before `job` if it were pushed
     /// now: the work ahead of it in its class, and the shares of the other classes meanwhile.
     pub fn work_before_ms(&self, job: &Job) -> f64 {
-        let at = place_of(job.priority);
+        let at = index_of(job.priority);
         let own_ms = self.classes[at].queue.work_before_ms(job);
         let others = self.classes.iter().enumerate().filter(|(i, _)| *i != at);
         let taken = others.map(|(i, class)| {
@@ -121,10 +121,10 @@
         self.classes.iter_mut().find_map(|c| c.queue.remove(id))
     }
 
-    /// Takes one job that matches `is_lost`.
-    pub fn take_lost(&mut self, is_lost: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    /// Takes one job that matches `is_match`.
+    pub fn take_matching(&mut self, is_match: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let mut classes = self.classes.iter_mut();
-        classes.find_map(|c| c.queue.take_lost(&is_lost))
+        classes.find_map(|c| c.queue.take_matching(&is_match))
     }
 
     fn started(&mut self, at: usize, work_ms: f64) {
--- a/src/decide/classes_tests.rs
+++ b/src/decide/classes_tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// One account has much urgent work, nine have a little of every class. The large account's urgent work
-/// waits behind the others' urgent work, but not behind what is less urgent.
+/// waits behind the other accounts' urgent work, but not behind less urgent work.
 #[test]
 fn urgent_work_of_a_large_account_goes_before_less_urgent_work_of_all() {
     let mut queue = ClassQueue::default();
@@ -35,7 +35,7 @@
     assert!((39..=41).contains(&urgent), "{urgent} of 50");
 }
 
-/// Much of the least urgent work waits for ever behind more urgent work. It must still get its twentieth.
+/// The least urgent work queues behind a long backlog of more urgent work. It still gets its twentieth.
 #[test]
 fn lowest_class_is_not_starved() {
     let mut queue = ClassQueue::default();
@@ -49,19 +49,14 @@
     assert!((9..=11).contains(&lowest), "{lowest} of 210");
 }
 
-/// The queue is full of work that can wait when an urgent job comes: the least urgent makes room, not the
-/// urgent one.
+/// The queue is full of less urgent work when an urgent job arrives: the least urgent job is evicted.
 #[test]
-fn least_urgent_work_is_pushed_out_first() {
+fn least_urgent_work_is_evicted_first() {
     let mut queue = ClassQueue::default();
     queue.push(job(1, "a", Priority::Batch), 1.0, 0);
     queue.push(job(2, "a", Priority::Normal), 100.0, 0);
-    let out = queue.push_out(&job(3, "a", Priority::Urgent), 500.0);
+    let out = queue.evict(&job(3, "a", Priority::Urgent), 500.0);
     assert_eq!(out.map(|w| w.job.id), Some(JobId(1)));
-    assert!(
-        queue
-            .push_out(&job(4, "b", Priority::Batch), 500.0)
-            .is_none()
-    );
+    assert!(queue.evict(&job(4, "b", Priority::Batch), 500.0).is_none());
     assert_eq!(queue.len(), 1);
 }
--- a/src/decide/cold_start_tests.rs
+++ b/src/decide/cold_start_tests.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start cold, before fleets of routers whose views differ: how much each gets.
+//! Load on cold upstreams from fleets whose routers have different views of the fleet.
 
 use super::cold_start::ColdStarts;
 use crate::util::Name;
@@ -8,19 +8,19 @@
 use test_case::test_case;
 
 const PER_S: f64 = 11.0;
-/// What an upstream bears at most before it crashes: half more than it says, and some.
-const BEARS: usize = 21;
+/// Most requests a second that an upstream survives: somewhat above half more than it announces.
+const MAX_PER_S: usize = 21;
 const COLD_MS: u64 = 3_000;
 const UPSTREAMS: usize = 30;
 
-/// How far the routers' views of the fleet are from the truth.
+/// How the routers' views of the fleet differ.
 #[derive(Clone, Copy)]
 enum Views {
-    /// All know all.
+    /// All routers know all routers.
     Whole,
-    /// Each knows nine of ten of the others.
+    /// Each router knows nine of ten of the others.
     Differing,
-    /// Two halves that have never heard of one another.
+    /// Two halves that don't know each other.
     Split,
 }
 
@@ -39,9 +39,10 @@
     known.map(|(_, host)| host.clone()).collect()
 }
 
-/// Plays a herd: `per_s` requests a second for each of the cold upstreams, each at a router drawn at random, which sends
-/// it to any of them that it may. Returns the most that one upstream got in a second, and the share that was sent.
-fn herd(routers: usize, views: Views, per_s: f64, seed: u64) -> (usize, f64) {
+/// Sends `per_s` requests a second for each of the cold upstreams, each through a random router, which
+/// sends it to a random upstream that it may. Returns the most requests of an upstream within a
+/// second, and the share of requests that were sent.
+fn simulate(routers: usize, views: Views, per_s: f64, seed: u64) -> (usize, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (hosts, service) = (hosts(routers), Name::from("s"));
     let upstreams: Vec<Name> = (0..UPSTREAMS).map(|i| format!("up-{i}").into()).collect();
@@ -55,12 +56,12 @@
         cold.assign(host, &known, |_| Some(PER_S), 0);
         fleet.push(cold);
     }
-    let (mut sent, mut asked) = (vec![Vec::new(); UPSTREAMS], 0_u32);
+    let (mut sent, mut requests) = (vec![Vec::new(); UPSTREAMS], 0_u32);
     let per_ms = per_s * UPSTREAMS as f64 / 1_000.0;
     for now_ms in 0..COLD_MS {
         let arrivals = per_ms as u32 + u32::from(rng.random_bool(per_ms.fract()));
         for _ in 0..arrivals {
-            asked += 1;
+            requests += 1;
             let router = fleet.choose_mut(&mut rng).unwrap();
             let open = (0..UPSTREAMS).filter(|i| router.admits(&upstreams[*i], now_ms));
             let open: Vec<usize> = open.collect();
@@ -80,38 +81,40 @@
     let busiest = |times: &Vec<u64>| times.iter().map(|from| in_second(times, *from)).max();
     let most = sent.iter().filter_map(busiest).max().unwrap_or(0);
     let served: usize = sent.iter().map(Vec::len).sum();
-    (most, served as f64 / f64::from(asked))
+    (most, served as f64 / f64::from(requests))
 }
 
-/// All upstreams of a data centre come back together, cold, into three times the traffic that they usually have. Every
-/// router finds them idle. None may get more than it bears in any second, or it crashes, comes back cold, and meets
-/// the same herd again, for ever.
+/// All upstreams of a data centre restart together, cold, at three times their usual traffic, and every
+/// router sees them idle. None may get more than it can handle in any second, or it crashes, restarts
+/// cold and gets the same load again.
 #[test_case(3, Views::Whole; "three routers")]
 #[test_case(71, Views::Whole; "71 routers")]
 #[test_case(300, Views::Whole; "300 routers")]
 #[test_case(71, Views::Differing; "71 routers with other views each")]
 #[test_case(300, Views::Differing; "300 routers with other views each")]
 #[test_case(71, Views::Split; "two halves of 71")]
-fn herd_stays_below_what_cold_upstreams_bear(routers: usize, views: Views) {
+fn load_stays_below_the_capacity_of_cold_upstreams(routers: usize, views: Views) {
     for seed in 0..8 {
-        let (most, _) = herd(routers, views, 18.0, seed);
-        assert!(most <= BEARS, "{most} in a second, seed {seed}");
+        let (most, _) = simulate(routers, views, 18.0, seed);
+        assert!(most <= MAX_PER_S, "{most} in a second, seed {seed}");
     }
 }
 
-/// All upstreams are cold, and the traffic is a third of what they bear: three routers serve most of it. A fleet of hundreds
-/// serves less, as some of its routers may send to few cold upstreams or to none; the table of `docs/design` has it.
+/// All upstreams are cold, and the traffic is a third of their capacity: three routers serve most of it.
+/// A fleet of hundreds serves less, because some of its routers may send to few cold upstreams or to
+/// none; see the table in `docs/design`.
 #[test]
 fn cold_upstreams_serve() {
     for seed in 0..8 {
-        let (_, served) = herd(3, Views::Whole, PER_S / 3.0, seed);
+        let (_, served) = simulate(3, Views::Whole, PER_S / 3.0, seed);
         assert!(served >= 0.8, "{served:.2} served, seed {seed}");
     }
 }
 
-/// A router stood still while an upstream became cold, wakes, and sends what waited: one request, as its pause allows.
+/// A router was suspended while an upstream became cold, and resumes with several requests waiting. It
+/// sends one, as its pause allows.
 #[test]
-fn router_that_wakes_sends_one() {
+fn router_that_resumes_sends_one_request() {
     let mut cold = ColdStarts::default();
     cold.reported(&"up".into(), &"s".into(), COLD_MS, 0);
     cold.assign("a", &["a".into()], |_| Some(PER_S), 0);
@@ -124,7 +127,8 @@
     assert_eq!(waiting.count(), 1);
 }
 
-/// A service that says nothing of cold starts, or an upstream that says it is warm, gets work from all at once.
+/// A service without a limit for cold starts, or an upstream that is no longer cold, gets work from all
+/// routers at once.
 #[test]
 fn warm_upstreams_take_work() {
     let mut cold = ColdStarts::default();
@@ -132,19 +136,20 @@
     cold.assign("a", &["a".into(), "b".into()], |_| None, 1);
     assert!(cold.admits("up", 1));
     cold.reported(&"up".into(), &"s".into(), COLD_MS, 2);
-    assert!(!cold.admits("up", 2), "whose turn it is isn't settled");
+    assert!(!cold.admits("up", 2), "no sender is assigned yet");
     cold.reported(&"up".into(), &"s".into(), 0, 3);
     assert!(cold.admits("up", 3) && !cold.is_cold("up", 3));
 }
 
-/// Whatever the size of the fleet and the herd, none gets more than it bears; printed is what was served.
+/// Whatever the size of the fleet and its load, no upstream gets more than it can handle; prints the
+/// share that was served.
 #[test]
-fn herds_at_several_sizes() {
+fn load_on_cold_upstreams_at_several_fleet_sizes() {
     for routers in [3, 9, 71, 300] {
         for per_s in [4.0, 8.0, 18.0] {
-            let (most, served) = herd(routers, Views::Whole, per_s, 1);
+            let (most, served) = simulate(routers, Views::Whole, per_s, 1);
             println!("{routers} routers, {per_s} a second: {served:.2} served, {most} at most");
-            assert!(most <= BEARS);
+            assert!(most <= MAX_PER_S);
         }
     }
 }
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -11,11 +11,11 @@
 //! additions.
 
 /// Lowest limit, so that a service always makes progress.
-pub const FLOOR: f64 = 4.0;
+pub const MIN_LIMIT: f64 = 4.0;
 /// Initial limit of a service.
-const START: f64 = 16.0;
+const INITIAL_LIMIT: f64 = 16.0;
 /// Highest limit of an upstream.
-const CEILING: f64 = 512.0;
+const MAX_LIMIT: f64 = 512.0;
 /// Factor on the limit when calls are slow or fail. Halving would empty short queues, but cost a
 /// small service half of its throughput each time.
 const DECREASE: f64 = 0.8;
@@ -40,18 +40,18 @@
     sum_ms: f64,
     failures: u32,
     calls: u32,
-    was_full: bool,
+    was_at_limit: bool,
 }
 
 impl Default for Concurrency {
     fn default() -> Self {
         Self {
-            limit: START,
+            limit: INITIAL_LIMIT,
             usual_ms: None,
             sum_ms: 0.0,
             failures: 0,
             calls: 0,
-            was_full: false,
+            was_at_limit: false,
         }
     }
 }
@@ -86,7 +86,7 @@
         self.sum_ms += took_ms as f64;
         self.failures += u32::from(!ok);
         self.calls += 1;
-        self.was_full |= in_flight >= self.limit();
+        self.was_at_limit |= in_flight >= self.limit();
         if self.calls < WINDOW {
             return;
         }
@@ -95,9 +95,9 @@
         let slow = mean_ms > SLOW_FACTOR * usual_ms + NOISE_MS;
         let failing = self.failures * 2 > self.calls;
         if slow || failing {
-            self.limit = (self.limit * DECREASE).max(FLOOR);
-        } else if self.was_full {
-            self.limit = (self.limit + 1.0).min(CEILING);
+            self.limit = (self.limit * DECREASE).max(MIN_LIMIT);
+        } else if self.was_at_limit {
+            self.limit = (self.limit + 1.0).min(MAX_LIMIT);
         }
         let gain = if mean_ms > usual_ms {
             SLOW_GAIN
@@ -105,6 +105,6 @@
             QUICK_GAIN
         };
         self.usual_ms = Some(usual_ms + gain * (mean_ms - usual_ms));
-        (self.sum_ms, self.failures, self.calls, self.was_full) = (0.0, 0, 0, false);
+        (self.sum_ms, self.failures, self.calls, self.was_at_limit) = (0.0, 0, 0, false);
     }
 }
--- a/src/decide/concurrency_tests.rs
+++ b/src/decide/concurrency_tests.rs
@@ -1,6 +1,6 @@
-use crate::decide::concurrency::{Concurrency, FLOOR};
+use crate::decide::concurrency::{Concurrency, MIN_LIMIT};
 
-/// A records service whose latency grows with the calls beyond its capacity, `capacity` at once.
+/// A service whose latency grows with the calls beyond its `capacity` of concurrent calls.
 fn run(limit: &mut Concurrency, capacity: u32, calls: u32) -> u64 {
     let mut slowest_ms = 0;
     for _ in 0..calls {
@@ -12,8 +12,8 @@
     slowest_ms
 }
 
-/// A records service loses most of its capacity. Calls must not pile up there until all time out:
-/// the limit follows, and look-ups that get through stay quick. When it recovers, so does the limit.
+/// A service loses most of its capacity. Calls must not accumulate until all time out: the limit
+/// follows the capacity, and admitted calls stay quick. When the service recovers, so does the limit.
 #[test]
 fn limit_follows_the_capacity() {
     let mut limit = Concurrency::default();
@@ -30,12 +30,12 @@
     assert!(limit.limit() > 100, "{}", limit.limit());
 }
 
-/// A service fails every call. The floor keeps a few going, so that its recovery is noticed.
+/// A service fails every call. The floor keeps a few calls going, so that its recovery is noticed.
 #[test]
 fn floor_holds() {
     let mut limit = Concurrency::default();
     for _ in 0..10_000 {
         limit.ended(20, false, limit.limit());
     }
-    assert_eq!(f64::from(limit.limit()), FLOOR);
+    assert_eq!(f64::from(limit.limit()), MIN_LIMIT);
 }
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -42,14 +42,14 @@
     failures: u32,
     mean_ms: f64,
     samples: u32,
-    out: Option<Out>,
+    ejection: Option<Ejection>,
     /// Ejections since it last stayed in the pool for a whole ejection time.
     ejections: u32,
-    back_ms: u64,
+    restored_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct Ejection {
     until_ms: u64,
     probed_ms: Option<u64>,
 }
@@ -78,31 +78,31 @@
         let Some(stats) = self.stats.get_mut(upstream) else {
             return true;
         };
-        let Some(out) = &mut stats.out else {
+        let Some(ejection) = &mut stats.ejection else {
             return true;
         };
-        if now_ms < out.until_ms {
+        if now_ms < ejection.until_ms {
             return false;
         }
-        if out.probed_ms.is_some_and(|at| now_ms < at + PROBE_MS) {
+        if ejection.probed_ms.is_some_and(|at| now_ms < at + PROBE_MS) {
             return false;
         }
-        out.probed_ms = Some(now_ms);
+        ejection.probed_ms = Some(now_ms);
         true
     }
 
     /// Whether `upstream` is ejected, without claiming a probe.
-    pub fn is_out(&self, upstream: &str, now_ms: u64) -> bool {
-        let out = self.stats.get(upstream).and_then(|s| s.out);
-        out.is_some_and(|o| {
+    pub fn is_ejected(&self, upstream: &str, now_ms: u64) -> bool {
+        let ejection = self.stats.get(upstream).and_then(|s| s.ejection);
+        ejection.is_some_and(|o| {
             now_ms < o.until_ms || o.probed_ms.is_some_and(|at| now_ms < at + PROBE_MS)
         })
     }
 
     /// Whether a probe of `upstream` is in flight.
     pub fn is_probed(&self, upstream: &str) -> bool {
-        let out = self.stats.get(upstream).and_then(|s| s.out);
-        out.is_some_and(|o| o.probed_ms.is_some())
+        let ejection = self.stats.get(upstream).and_then(|s| s.ejection);
+        ejection.is_some_and(|o| o.probed_ms.is_some())
     }
 
     /// Records that `upstream` answered with its first frame after `took_ms`.
@@ -130,7 +130,10 @@
         now_ms: u64,
     ) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
-        if stats.out.is_some_and(|out| out.probed_ms.is_none()) {
+        if stats
+            .ejection
+            .is_some_and(|ejection| ejection.probed_ms.is_none())
+        {
             // Sent before the ejection, so it doesn't show that new requests would succeed.
             return Change::None;
         }
@@ -138,13 +141,13 @@
         stats.samples = stats.samples.saturating_add(1);
         let gain = GAIN.max(1.0 / f64::from(stats.samples));
         stats.mean_ms += gain * (took_ms as f64 - stats.mean_ms);
-        if stats.out.take().is_some() {
-            stats.back_ms = now_ms;
+        if stats.ejection.take().is_some() {
+            stats.restored_ms = now_ms;
             stats.samples = 0;
             stats.mean_ms = 0.0;
             return Change::Restored;
         }
-        if now_ms > stats.back_ms + hold_ms(stats.ejections) {
+        if now_ms > stats.restored_ms + ejection_ms(stats.ejections) {
             stats.ejections = 0;
         }
         if self.is_slow(upstream, pool) {
@@ -157,7 +160,7 @@
     pub fn failed(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
         stats.failures += 1;
-        if stats.out.is_some() || stats.failures >= FAILURES {
+        if stats.ejection.is_some() || stats.failures >= FAILURES {
             return self.eject(upstream, pool, share, now_ms);
         }
         Change::None
@@ -166,7 +169,7 @@
     /// Ejects `upstream`, which fails a larger share of its requests than its pool.
     pub fn grey(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
-        if stats.out.is_some() {
+        if stats.ejection.is_some() {
             return Change::None;
         }
         self.eject(upstream, pool, share, now_ms)
@@ -202,26 +205,26 @@
     }
 
     fn eject(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
-        let is_out = |name: &&Name| {
+        let is_ejected = |name: &&Name| {
             let stats = self.stats.get(*name);
-            *name != upstream && stats.is_some_and(|s| s.out.is_some())
+            *name != upstream && stats.is_some_and(|s| s.ejection.is_some())
         };
-        let out = pool.iter().filter(is_out).count();
+        let ejected = pool.iter().filter(is_ejected).count();
         let most = ((pool.len() as f64 * share) as usize).max(1);
         // The last upstream that takes work always stays.
-        if out >= most || out + 1 >= pool.len().max(1) {
+        if ejected >= most || ejected + 1 >= pool.len().max(1) {
             return Change::None;
         }
         let Some(stats) = self.stats.get_mut(upstream) else {
             return Change::None;
         };
-        let was_out = stats.out.is_some();
-        stats.out = Some(Out {
-            until_ms: now_ms + hold_ms(stats.ejections),
+        let was_ejected = stats.ejection.is_some();
+        stats.ejection = Some(Ejection {
+            until_ms: now_ms + ejection_ms(stats.ejections),
             probed_ms: None,
         });
         stats.ejections += 1;
-        if was_out {
+        if was_ejected {
             Change::None
         } else {
             Change::Ejected
@@ -229,7 +232,7 @@
     }
 }
 
-fn hold_ms(ejections: u32) -> u64 {
+fn ejection_ms(ejections: u32) -> u64 {
     EJECTION_MS
         .saturating_mul(1 << ejections.min(16))
         .min(MAX_EJECTION_MS)
--- a/src/decide/ejection_tests.rs
+++ b/src/decide/ejection_tests.rs
@@ -1,14 +1,14 @@
 use crate::decide::Name;
 use crate::decide::ejection::{Change, EJECTION_MS, Ejector};
 
-const SHARE: f64 = 0.34;
+const MAX_SHARE: f64 = 0.34;
 
 fn pool() -> Vec<Name> {
     (0..6).map(|i| Name::from(format!("engine-{i}"))).collect()
 }
 
-/// One engine answers ten times as slowly as its pool. It is taken out; without the comparison its
-/// callers would wait as long as it takes.
+/// One engine answers ten times as slowly as its pool. It is ejected; otherwise its callers would wait
+/// for as long as it takes.
 #[test]
 fn slow_upstream_is_ejected() {
     let (pool, mut ejector) = (pool(), Ejector::default());
@@ -16,7 +16,7 @@
     for round in 0..20 {
         for (at, name) in pool.iter().enumerate() {
             let took_ms = if at == 2 { 1_000 } else { 100 };
-            if ejector.answered(name, took_ms, &pool, SHARE, round) == Change::Ejected {
+            if ejector.answered(name, took_ms, &pool, MAX_SHARE, round) == Change::Ejected {
                 ejected.push(at);
             }
         }
@@ -25,53 +25,56 @@
     assert!(!ejector.admits("engine-2", 20));
 }
 
-/// The whole pool turns ten times slower: a new model, a full network. Ejecting would only push the
-/// load onto the rest: nobody is ejected.
+/// The whole pool becomes ten times slower, for instance with a new model or a full network. Ejection
+/// would only move the load to the rest, so no upstream is ejected.
 #[test]
-fn pool_wide_slowdown_ejects_nobody() {
+fn pool_wide_slowdown_ejects_no_upstream() {
     let (pool, mut ejector) = (pool(), Ejector::default());
     for round in 0..60 {
         let took_ms = if round < 20 { 100 } else { 1_000 };
         for name in &pool {
-            let change = ejector.answered(name, took_ms, &pool, SHARE, round);
+            let change = ejector.answered(name, took_ms, &pool, MAX_SHARE, round);
             assert_eq!(change, Change::None);
         }
     }
 }
 
-/// All upstreams fail at once. At most a third is taken out.
+/// All upstreams fail at once. At most a third is ejected.
 #[test]
 fn ejected_share_is_capped() {
     let (pool, mut ejector) = (pool(), Ejector::default());
     for _ in 0..10 {
         for name in &pool {
-            ejector.failed(name, &pool, SHARE, 0);
+            ejector.failed(name, &pool, MAX_SHARE, 0);
         }
     }
-    let out = pool.iter().filter(|name| ejector.is_out(name, 1)).count();
+    let out = pool
+        .iter()
+        .filter(|name| ejector.is_ejected(name, 1))
+        .count();
     assert_eq!(out, 2);
 }
 
-/// An engine flaps: it fails, answers one probe, fails again. Each time it waits twice as long for
-/// the next probe, so that it hurts ever fewer callers.
+/// An engine flaps: it fails, answers one probe and fails again. The time to its next probe doubles, so
+/// that it affects fewer and fewer callers.
 #[test]
-fn flapping_upstream_waits_ever_longer() {
+fn flapping_upstream_is_ejected_for_longer_each_time() {
     let (pool, mut ejector) = (pool(), Ejector::default());
     let flapping = &pool[0];
-    let (mut now_ms, mut holds) = (0, Vec::new());
+    let (mut now_ms, mut ejections_ms) = (0, Vec::new());
     for _ in 0..4 {
-        while ejector.failed(flapping, &pool, SHARE, now_ms) != Change::Ejected {}
-        let out_ms = now_ms;
+        while ejector.failed(flapping, &pool, MAX_SHARE, now_ms) != Change::Ejected {}
+        let ejected_ms = now_ms;
         while !ejector.admits(flapping, now_ms) {
             now_ms += 100;
         }
-        holds.push(now_ms - out_ms);
+        ejections_ms.push(now_ms - ejected_ms);
         assert!(!ejector.admits(flapping, now_ms), "one probe at a time");
-        let back = ejector.answered(flapping, 100, &pool, SHARE, now_ms);
-        assert_eq!(back, Change::Restored);
+        let restored = ejector.answered(flapping, 100, &pool, MAX_SHARE, now_ms);
+        assert_eq!(restored, Change::Restored);
     }
     assert_eq!(
-        holds,
+        ejections_ms,
         [
             EJECTION_MS,
             2 * EJECTION_MS,
@@ -81,8 +84,8 @@
     );
 }
 
-/// A healthy pool answers within a millisecond, and one engine takes 50 ms because chats bring
-/// their KV caches along to it. No caller notices; taking it out would only load the others.
+/// A healthy pool answers within a millisecond, and one engine takes 50 ms because KV caches are moved
+/// to it. No caller notices; ejecting it would only load the others.
 #[test]
 fn quick_upstream_is_not_slow() {
     let pool = pool();
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -30,7 +30,7 @@
     pub work_ms: f64,
     /// Time at which it was queued.
     pub since_ms: u64,
-    passed: u32,
+    passed_count: u32,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -94,7 +94,7 @@
             job,
             work_ms,
             since_ms,
-            passed: 0,
+            passed_count: 0,
         });
         self.len += 1;
         self.work_ms += work_ms;
@@ -123,7 +123,7 @@
         let taken = self.take(&key, at)?;
         let flow = self.flows.get_mut(&key)?;
         for passed in flow.jobs.iter_mut().take(at) {
-            passed.passed += 1;
+            passed.passed_count += 1;
         }
         let start = flow.next.max(self.now);
         flow.next = start + taken.work_ms / flow_weight(&taken.job);
@@ -134,15 +134,15 @@
 
     /// Takes the newest job of the flow that is furthest ahead, if it is further ahead than the
     /// flow of `job` would be: a full queue evicts from the account that occupies most of it.
-    pub fn push_out(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
-        let mine = self.backlog(job) + work_ms / flow_weight(job);
+    pub fn evict(&mut self, job: &Job, work_ms: f64) -> Option<Waiting> {
+        let own = self.backlog(job) + work_ms / flow_weight(job);
         let (key, worst) = self
             .flows
             .iter()
             .filter(|(_, flow)| !flow.jobs.is_empty())
-            .map(|(key, flow)| (key, ahead(flow, self.now)))
+            .map(|(key, flow)| (key, virtual_lead(flow, self.now)))
             .max_by(|a, b| a.1.total_cmp(&b.1).then_with(|| a.0.cmp(b.0)))?;
-        if worst <= mine {
+        if worst <= own {
             return None;
         }
         let key = key.clone();
@@ -152,13 +152,13 @@
 
     /// Returns the work in engine milliseconds that would start before `job` if it were pushed now.
     pub fn work_before_ms(&self, job: &Job) -> f64 {
-        let mine = self.backlog(job) + self.now;
+        let own = self.backlog(job) + self.now;
         let before = |(key, flow): (&FlowKey, &Flow)| {
             let weight = flow.jobs.front().map_or(1.0, |w| flow_weight(&w.job));
             if key.0 == job.priority && key.1 == job.account {
                 return flow.work_ms;
             }
-            let lag = (mine - flow.next.max(self.now)).max(0.0);
+            let lag = (own - flow.next.max(self.now)).max(0.0);
             (lag * weight).min(flow.work_ms)
         };
         self.flows.iter().map(before).sum()
@@ -173,10 +173,10 @@
         self.take(&key, at)
     }
 
-    /// Takes one job that matches `is_lost`.
-    pub fn take_lost(&mut self, is_lost: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    /// Takes one job that matches `is_match`.
+    pub fn take_matching(&mut self, is_match: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let (key, at) = self.flows.iter().find_map(|(key, flow)| {
-            let at = flow.jobs.iter().position(&is_lost)?;
+            let at = flow.jobs.iter().position(&is_match)?;
             Some((key.clone(), at))
         })?;
         self.take(&key, at)
@@ -193,7 +193,9 @@
 
     fn backlog(&self, job: &Job) -> f64 {
         let key = (job.priority, job.account.clone());
-        self.flows.get(&key).map_or(0.0, |f| ahead(f, self.now))
+        self.flows
+            .get(&key)
+            .map_or(0.0, |f| virtual_lead(f, self.now))
     }
 
     fn take(&mut self, key: &FlowKey, at: usize) -> Option<Waiting> {
@@ -218,7 +220,7 @@
 }
 
 /// Returns how far a flow's virtual time will be ahead of the queue's once all its jobs started.
-fn ahead(flow: &Flow, now: f64) -> f64 {
+fn virtual_lead(flow: &Flow, now: f64) -> f64 {
     let weight = flow.jobs.front().map_or(1.0, |w| flow_weight(&w.job));
     (flow.next - now).max(0.0) + flow.work_ms / weight
 }
@@ -227,7 +229,7 @@
 fn pick(jobs: &VecDeque<Waiting>, may_start: &impl Fn(&Job) -> bool) -> Option<usize> {
     let mut startable = jobs.iter().enumerate().filter(|(_, w)| may_start(&w.job));
     let (at, first) = startable.next()?;
-    if first.passed >= PASS_LIMIT {
+    if first.passed_count >= PASS_LIMIT {
         return Some(at);
     }
     let rest = startable.map(|(at, w)| (at, w.work_ms));
--- a/src/decide/fair_tests.rs
+++ b/src/decide/fair_tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Batch work waits while urgent work keeps coming for ever. It must still get its sixteenth.
+/// Batch work waits behind a constant backlog of urgent work. It still gets its sixteenth.
 #[test]
 fn lowest_class_is_not_starved() {
     let mut queue = FairQueue::default();
@@ -38,8 +38,8 @@
     assert!((9..=11).contains(&batch), "{batch}");
 }
 
-/// A mechanic's long diagnosis is queued first, and his labels keep coming behind it. They may
-/// pass it, but not for ever.
+/// An account's long job is queued first, and its short ones keep arriving behind it. They may pass the
+/// long one, but only a limited number of times.
 #[test]
 fn long_job_is_passed_a_few_times_only() {
     let mut queue = FairQueue::default();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Every job that is pushed comes out once, whatever is removed or pushed out in between.
+    /// Every job that is pushed is returned once, whatever is removed or evicted in between.
     #[test]
     fn no_job_is_lost_or_doubled(steps in proptest::collection::vec((0_u8..4, 0_u64..40), 1..200)) {
         let mut queue = FairQueue::default();
@@ -100,7 +100,7 @@
             let out = match what {
                 0 => queue.pop(|_| true),
                 1 => queue.remove(JobId(*pick)),
-                2 => queue.push_out(&new, 1.0),
+                2 => queue.evict(&new, 1.0),
                 _ => {
                     queue.push(new, 1.0 + *pick as f64, 0);
                     inside.insert(JobId(id));
--- a/src/decide/grey.rs
+++ b/src/decide/grey.rs
@@ -21,7 +21,7 @@
 pub const POOL_FACTOR: f64 = 3.0;
 
 /// Counts below this are dropped.
-const FORGOTTEN: f64 = 0.1;
+const MIN_ENDED: f64 = 0.1;
 
 /// Outcomes of an upstream's calls of the last seconds.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,10 +49,10 @@
     /// Returns the counts decayed to `now_ms`.
     pub fn at(self, now_ms: u64) -> Self {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let left = 0.5_f64.powf(age_ms / HALF_LIFE_MS);
+        let remaining = 0.5_f64.powf(age_ms / HALF_LIFE_MS);
         Self {
-            ended: self.ended * left,
-            failed: self.failed * left,
+            ended: self.ended * remaining,
+            failed: self.failed * remaining,
             at_ms: now_ms,
         }
     }
@@ -78,7 +78,7 @@
 
     /// Whether enough calls are left to matter.
     pub fn is_significant(self) -> bool {
-        self.ended >= FORGOTTEN
+        self.ended >= MIN_ENDED
     }
 
     fn is_grey(self, median: f64) -> bool {
--- a/src/decide/grey_tests.rs
+++ b/src/decide/grey_tests.rs
@@ -8,25 +8,25 @@
 
 const UPSTREAMS: usize = 12;
 const ROUTERS: usize = 9;
-/// Requests a second to the whole pool, and how long they come.
+/// Requests a second to the whole pool, and the duration of the traffic.
 const PER_S: u64 = 150;
 const SECONDS: u64 = 10;
-/// Routers judge, and tell one another, this often.
-const TELL_MS: u64 = 200;
+/// Interval at which routers exchange counts and look for grey upstreams.
+const REPORT_INTERVAL_MS: u64 = 200;
 
-/// The share of callers that get a failure while `greys` upstreams fail `share` of their requests,
-/// with or without leaving grey ones out.
-fn failures(greys: usize, share: f64, leaves_out: bool) -> f64 {
+/// Returns the share of callers that get a failure while `greys` upstreams fail `share` of their
+/// requests, with or without ejection of grey upstreams.
+fn failures(greys: usize, share: f64, ejects: bool) -> f64 {
     let mut rng = SmallRng::seed_from_u64(5);
     let pool: Vec<Name> = (0..UPSTREAMS).map(|i| format!("u{i}").into()).collect();
     let mut ejectors = vec![Ejector::default(); ROUTERS];
     let mut counts = [Outcomes::default(); UPSTREAMS];
-    let (requests, mut failed, mut judged_ms) = (PER_S * SECONDS, 0, 0);
+    let (requests, mut failed, mut checked_ms) = (PER_S * SECONDS, 0, 0);
     for n in 0..requests {
         let now_ms = 1 + n * 1_000 / PER_S;
         let ejector = &mut ejectors[rng.random_range(0..ROUTERS)];
         let candidate = |name: &Name| Candidate {
-            excluded: ejector.is_out(name, now_ms),
+            excluded: ejector.is_ejected(name, now_ms),
             ..Candidate::default()
         };
         let candidates: Vec<Candidate> = pool.iter().map(candidate).collect();
@@ -40,8 +40,8 @@
             ejector.answered(&pool[at], 20, &pool, DEFAULT_SHARE, now_ms);
         }
         counts[at].add(1, fails.into(), now_ms);
-        if leaves_out && now_ms >= judged_ms + TELL_MS {
-            judged_ms = now_ms;
+        if ejects && now_ms >= checked_ms + REPORT_INTERVAL_MS {
+            checked_ms = now_ms;
             let now = counts.map(|c| c.at(now_ms));
             for at in grey(&now) {
                 for ejector in &mut ejectors {
@@ -53,17 +53,17 @@
     f64::from(failed) / requests as f64
 }
 
-/// Three of twelve upstreams fail two fifths of their requests, never many in a row. Left in, they
-/// fail one caller in ten for as long as it lasts; left out by their share, not a third of these.
+/// Three of twelve upstreams fail two fifths of their requests, rarely many in a row. Without detection
+/// they fail one caller in ten; with it, less than a third as many.
 #[test]
-fn callers_are_spared_grey_upstreams() {
+fn grey_upstreams_are_ejected() {
     let without = failures(3, 0.4, false);
     let with = failures(3, 0.4, true);
     assert!(without > 0.06, "{without}");
     assert!(with < without / 3.0, "{with} of {without}");
 }
 
-/// Every upstream fails one request in seven by the nature of the service: leaving any out would only
+/// Every upstream fails one request in seven by the nature of the service: ejecting any would only
 /// load the others.
 #[test]
 fn failing_service_keeps_its_upstreams() {
@@ -78,9 +78,9 @@
     }
 }
 
-/// Two failures of a restart, and nothing else known of the upstream: that is no share yet.
+/// Two failures during a restart, and no other call to the upstream: too few for a failure share.
 #[test]
-fn two_failures_are_no_share() {
+fn two_failures_are_not_grey() {
     let mut counts = [Outcomes::default(); 4];
     counts[0].add(2, 2, 0);
     assert!(grey(&counts).is_empty());
@@ -88,7 +88,7 @@
     assert_eq!(grey(&counts), [0]);
 }
 
-/// An upstream that was left out for its hold is judged by what it does from then on.
+/// After its ejection time an upstream is rated by its new calls.
 #[test]
 fn old_failures_fade() {
     let mut counts = [Outcomes::default(); 4];
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -30,19 +30,19 @@
 use crate::decide::{ChatKey, Job, JobId, PoolView, Priority, Rates};
 
 /// Weight of the newest job in the moving average of the time per work.
-const PACE_GAIN: f64 = 1.0 / 16.0;
+const EWMA_GAIN: f64 = 1.0 / 16.0;
 /// Samples needed before the time per work is used to predict a service time.
-const PACE_SAMPLES: u32 = 8;
+const MIN_SAMPLES: u32 = 8;
 /// Share of epsilon up to which jobs are admitted; the rest absorbs the drift of a mean that is a
 /// gossip round old.
 const HEADROOM: f64 = 0.8;
 /// Share of the admitted range that a chat with nothing cached may use; the rest is reserved for
 /// long histories, which cost most to displace.
-const NEW_SHARE: f64 = 0.7;
+const UNCACHED_SHARE: f64 = 0.7;
 /// Cached tokens from which a history counts as long: a quarter of a second of prefill.
 const LONG_TOKENS: f64 = 2_000.0;
 /// For this long a suspect runs with no other suspect beside it; see `quarantine`.
-pub const SUSPECT_ALONE_MS: u64 = 500;
+pub const SUSPECT_ISOLATION_MS: u64 = 500;
 /// Shortest retry time: anything less would only add load.
 const MIN_RETRY_MS: u64 = 100;
 
@@ -117,11 +117,11 @@
     running: HashMap<JobId, Running>,
     running_ms: f64,
     queue: FairQueue,
-    pushed_out: Vec<JobId>,
-    warm: LruCache<u32>,
+    evicted: Vec<JobId>,
+    cached_chats: LruCache<u32>,
     shedder: Shedder,
-    pace: f64,
-    paced: u32,
+    time_per_work: f64,
+    samples: u32,
     inherited: Inherited,
 }
 
@@ -137,11 +137,11 @@
             running: HashMap::new(),
             running_ms: 0.0,
             queue: FairQueue::default(),
-            pushed_out: Vec::new(),
-            warm: LruCache::new(policy.cache_tokens),
+            evicted: Vec::new(),
+            cached_chats: LruCache::new(policy.cache_tokens),
             shedder: Shedder::new(policy.shed_order.clone()),
-            pace: 1.0,
-            paced: 0,
+            time_per_work: 1.0,
+            samples: 0,
             inherited: Inherited::default(),
             policy,
         }
@@ -159,7 +159,7 @@
     /// inherited.
     pub fn reported(&mut self, jobs: u32, now_ms: u64) {
         let own = self.running.len() as f64;
-        self.inherited.correct(f64::from(jobs) - own, now_ms);
+        self.inherited.lower_to(f64::from(jobs) - own, now_ms);
     }
 
     /// Changes how many jobs the upstream runs at once; running jobs continue.
@@ -197,21 +197,23 @@
     }
 
     /// Chats that are assumed to be cached at the upstream, most recent first.
-    pub fn warm_chats(&self) -> impl Iterator<Item = (ChatKey, u32)> {
-        self.warm.recent().map(|(chat, tokens)| (chat, *tokens))
+    pub fn cached(&self) -> impl Iterator<Item = (ChatKey, u32)> {
+        self.cached_chats
+            .recent()
+            .map(|(chat, tokens)| (chat, *tokens))
     }
 
     /// Records that `tokens` of `chat` are cached at the upstream; zero means none.
-    pub fn warmed(&mut self, chat: ChatKey, tokens: u32) {
+    pub fn set_cached(&mut self, chat: ChatKey, tokens: u32) {
         match tokens {
-            0 => self.warm.remove(chat),
-            _ => self.warm.put(chat, tokens, tokens.into()),
+            0 => self.cached_chats.remove(chat),
+            _ => self.cached_chats.put(chat, tokens, tokens.into()),
         }
     }
 
     /// Clears the record of cached chats after a restart of the upstream.
-    pub fn cooled(&mut self) {
-        self.warm.clear();
+    pub fn clear_cached(&mut self) {
+        self.cached_chats.clear();
     }
 
     /// Decides on a new job.
@@ -225,7 +227,7 @@
         if job.deadline_ms <= now_ms {
             return Offer::Refused(Refusal::not_run(Cause::Deadline, 0));
         }
-        let cached = self.warm.get(job.chat).copied().unwrap_or(0);
+        let cached = self.cached_chats.get(job.chat).copied().unwrap_or(0);
         job.cost.cached_tokens = cached.min(job.cost.prompt_tokens);
         let work_ms = job.cost.work_ms(&self.policy.rates);
         if !job.last_choice && self.over_bound(job.cost.cached_tokens, work_ms, pool, now_ms) {
@@ -239,7 +241,7 @@
         if !job.last_choice && pool.free_slots > 0 {
             return Offer::Full;
         }
-        match self.turned_away(&job, work_ms, now_ms, rng) {
+        match self.queue_refusal(&job, work_ms, now_ms, rng) {
             Some(refusal) => Offer::Refused(refusal),
             None => {
                 self.queue.push(job, work_ms, now_ms);
@@ -252,7 +254,7 @@
     pub fn finish(&mut self, id: JobId, now_ms: u64) {
         if let Some(ended) = self.running.remove(&id) {
             self.running_ms -= ended.work_ms;
-            self.learn_pace(&ended, now_ms);
+            self.update_time_per_work(&ended, now_ms);
         }
         if self.running.is_empty() {
             // Floating-point sums drift; the sum of an idle upstream is exactly zero.
@@ -265,13 +267,13 @@
     pub fn poll<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Option<Ready> {
         self.shedder
             .observe(self.queue.oldest_wait_ms(now_ms), now_ms);
-        if let Some(id) = self.pushed_out.pop() {
+        if let Some(id) = self.evicted.pop() {
             let refusal = Refusal::not_run(Cause::QueueFull, self.retry_ms(0.0, rng));
             return Some(Ready::Refused(id, refusal));
         }
-        if let Some(lost) = self.take_lost(now_ms) {
-            let refusal = Refusal::not_run(Cause::Deadline, self.retry_ms(lost.work_ms, rng));
-            return Some(Ready::Refused(lost.job.id, refusal));
+        if let Some(overdue) = self.take_overdue(now_ms) {
+            let refusal = Refusal::not_run(Cause::Deadline, self.retry_ms(overdue.work_ms, rng));
+            return Some(Ready::Refused(overdue.job.id, refusal));
         }
         if !self.has_slot(now_ms) {
             return None;
@@ -287,11 +289,11 @@
     fn over_bound(&self, cached: u32, work_ms: f64, pool: PoolView, now_ms: u64) -> bool {
         let inherited_ms = self.inherited.work_ms(now_ms);
         let long = (f64::from(cached) / LONG_TOKENS).min(1.0);
-        let share = HEADROOM * (NEW_SHARE + (1.0 - NEW_SHARE) * long);
+        let share = HEADROOM * (UNCACHED_SHARE + (1.0 - UNCACHED_SHARE) * long);
         let bound_ms = (1.0 + share * self.policy.epsilon) * pool.mean_work_ms;
-        let held_ms = self.work_ms() + inherited_ms;
+        let total_ms = self.work_ms() + inherited_ms;
         // An idle upstream takes any job: no other one can have less work.
-        held_ms > 0.0 && held_ms + work_ms > bound_ms
+        total_ms > 0.0 && total_ms + work_ms > bound_ms
     }
 
     fn has_slot(&self, now_ms: u64) -> bool {
@@ -304,15 +306,15 @@
         self.has_slot(now_ms) && !(job.suspect && self.suspect_runs(now_ms))
     }
 
-    /// Whether a suspect started here within [`SUSPECT_ALONE_MS`]: a request that crashes its
+    /// Whether a suspect started here within [`SUSPECT_ISOLATION_MS`]: a request that crashes its
     /// upstream does so during prefill, so one that has run for longer doesn't block other suspects.
     fn suspect_runs(&self, now_ms: u64) -> bool {
-        let fresh = |r: &Running| r.suspect && now_ms < r.since_ms + SUSPECT_ALONE_MS;
+        let fresh = |r: &Running| r.suspect && now_ms < r.since_ms + SUSPECT_ISOLATION_MS;
         self.running.values().any(fresh)
     }
 
     /// Returns the refusal of a job that must wait but may not.
-    fn turned_away<R: Rng>(
+    fn queue_refusal<R: Rng>(
         &mut self,
         job: &Job,
         work_ms: f64,
@@ -330,8 +332,8 @@
             return Some(Refusal::not_run(Cause::Deadline, retry_ms));
         }
         if self.queue.len() >= self.policy.queue_limit {
-            match self.queue.push_out(job, work_ms) {
-                Some(out) => self.pushed_out.push(out.job.id),
+            match self.queue.evict(job, work_ms) {
+                Some(out) => self.evicted.push(out.job.id),
                 None => {
                     let retry_ms = self.retry_ms(work_ms, rng);
                     return Some(Refusal::not_run(Cause::QueueFull, retry_ms));
@@ -342,35 +344,36 @@
     }
 
     /// Takes a waiting job that can't be answered by its deadline any more.
-    fn take_lost(&mut self, now_ms: u64) -> Option<Waiting> {
-        let pace = self.known_pace();
-        self.queue
-            .take_lost(|w| w.job.deadline_ms as f64 <= now_ms as f64 + w.work_ms * pace)
+    fn take_overdue(&mut self, now_ms: u64) -> Option<Waiting> {
+        let time_per_work = self.known_time_per_work();
+        self.queue.take_matching(|w| {
+            w.job.deadline_ms as f64 <= now_ms as f64 + w.work_ms * time_per_work
+        })
     }
 
     /// Returns how long the upstream takes for `work_ms` with all slots busy.
     fn drain_ms(&self, work_ms: f64) -> f64 {
-        work_ms * self.pace / f64::from(self.policy.slots.max(1))
+        work_ms * self.time_per_work / f64::from(self.policy.slots.max(1))
     }
 
     fn service_ms(&self, work_ms: f64) -> f64 {
-        work_ms * self.known_pace()
+        work_ms * self.known_time_per_work()
     }
 
     /// Returns zero until there are enough samples, so that an unproven estimate refuses nothing.
-    fn known_pace(&self) -> f64 {
-        match self.paced {
-            PACE_SAMPLES.. => self.pace,
+    fn known_time_per_work(&self) -> f64 {
+        match self.samples {
+            MIN_SAMPLES.. => self.time_per_work,
             _ => 0.0,
         }
     }
 
-    fn learn_pace(&mut self, ended: &Running, now_ms: u64) {
+    fn update_time_per_work(&mut self, ended: &Running, now_ms: u64) {
         let took_ms = now_ms.saturating_sub(ended.since_ms) as f64;
-        let pace = took_ms / ended.work_ms.max(1.0);
-        let gain = PACE_GAIN.max(1.0 / f64::from(self.paced + 1));
-        self.pace += gain * (pace - self.pace);
-        self.paced = self.paced.saturating_add(1);
+        let time_per_work = took_ms / ended.work_ms.max(1.0);
+        let gain = EWMA_GAIN.max(1.0 / f64::from(self.samples + 1));
+        self.time_per_work += gain * (time_per_work - self.time_per_work);
+        self.samples = self.samples.saturating_add(1);
     }
 
     fn retry_ms<R: Rng>(&self, work_ms: f64, rng: &mut R) -> u64 {
@@ -391,7 +394,7 @@
             .prompt_tokens
             .saturating_add(job.cost.output_tokens);
         if tokens > 0 {
-            self.warm.put(job.chat, tokens, tokens.into());
+            self.cached_chats.put(job.chat, tokens, tokens.into());
         }
     }
 }
--- a/src/decide/home_tests.rs
+++ b/src/decide/home_tests.rs
@@ -2,7 +2,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::decide::home::{Home, HomePolicy, Offer, Ready, SUSPECT_ALONE_MS};
+use crate::decide::home::{Home, HomePolicy, Offer, Ready, SUSPECT_ISOLATION_MS};
 use crate::decide::refusal::{Cause, RunState};
 use crate::decide::take_over::TAKE_OVER_MS;
 use crate::decide::{ChatKey, Cost, Job, JobId, PoolView, Priority};
@@ -58,10 +58,10 @@
     assert_eq!(home.poll(100, rng), Some(Ready::Start(JobId(2))));
 }
 
-/// A job would have to wait here while another engine has free slots: it is sent there, and waits
-/// here only when nobody else took it.
+/// A job would have to wait here while another engine has free slots: it is redirected, and waits here
+/// only if no other engine took it.
 #[test]
-fn full_engine_sends_on_while_others_have_room() {
+fn full_engine_redirects_while_others_have_free_slots() {
     let mut home = home(1, 8);
     let rng = &mut rng();
     let free = PoolView {
@@ -76,16 +76,16 @@
     assert_eq!(home.offer(second, free, 0, rng), Offer::Queued);
 }
 
-/// The queue is long, and the caller's deadline near. Waiting would end in a timeout: the caller
-/// is told at once, with the time to come back.
+/// The queue is long and the caller's deadline near. Waiting would end in a timeout, so the job is
+/// refused at once with a retry time.
 #[test]
 fn hopeless_wait_is_refused_on_arrival() {
     let mut home = home(1, 100);
     let rng = &mut rng();
     for id in 0..30 {
-        let mut patient = job(id);
-        patient.deadline_ms = 1_000_000;
-        home.offer(patient, pool(0.0), 0, rng);
+        let mut unhurried = job(id);
+        unhurried.deadline_ms = 1_000_000;
+        home.offer(unhurried, pool(0.0), 0, rng);
     }
     let Offer::Refused(refusal) = home.offer(job(99), pool(0.0), 0, rng) else {
         panic!("a job that can't be served in time was queued");
@@ -96,10 +96,10 @@
     assert!(refusal.retry_after_ms > 10_000, "{refusal:?}");
 }
 
-/// A job waits longer than was foreseen. As soon as it can't be answered in time any more it is
-/// given up, not when its deadline comes.
+/// A job waits longer than predicted. It is refused as soon as it can't be answered in time any more, not
+/// only at its deadline.
 #[test]
-fn queued_job_is_given_up_before_its_deadline() {
+fn queued_job_is_refused_before_its_deadline() {
     let mut home = home(1, 8);
     let rng = &mut rng();
     for id in 0..10 {
@@ -118,10 +118,10 @@
     assert!(refusal.retry_after_ms > 0);
 }
 
-/// The largest account has filled the queue when a small one's request comes. The small one gets a
-/// place, and the largest one's youngest request is refused at once.
+/// The largest account has filled the queue when a small account's job arrives. The small one is queued,
+/// and the largest one's newest job is refused at once.
 #[test]
-fn full_queue_pushes_out_whoever_holds_most() {
+fn full_queue_evicts_from_the_largest_account() {
     let mut home = home(1, 4);
     let rng = &mut rng();
     for id in 0..5 {
@@ -131,18 +131,18 @@
     small.account = "small".into();
     assert_eq!(home.offer(small, pool(0.0), 0, rng), Offer::Queued);
     let Some(Ready::Refused(JobId(4), refusal)) = home.poll(0, rng) else {
-        panic!("nobody was pushed out");
+        panic!("no job was evicted");
     };
     assert_eq!(refusal.cause, Cause::QueueFull);
     assert!(refusal.retry_after_ms > 0);
     let Offer::Refused(refusal) = home.offer(job(10), pool(0.0), 0, rng) else {
-        panic!("the account that holds most got another place");
+        panic!("the largest account got another place in the queue");
     };
     assert_eq!(refusal.cause, Cause::QueueFull);
 }
 
-/// A router takes over an engine that runs 30 jobs of its former home. It must not start another 32
-/// beside them; when the engine reports that they have ended, it may.
+/// A router takes over an engine that runs 30 jobs of its earlier home. It must not start another 32
+/// beside them; once the engine reports that they ended, it may.
 #[test]
 fn new_home_starts_slowly() {
     let mut home = home(32, 100);
@@ -163,9 +163,9 @@
     assert_eq!(offer, Offer::Start);
 }
 
-/// An engine's report lags: it says that nothing runs while this home has just started a job, and
-/// nothing was inherited. The home's slots must stay usable: once the share of nothing was taken, they
-/// were all held to be taken for ever, and callers waited until their deadlines.
+/// An engine's lagging report says that nothing runs after this home has started a job, with nothing
+/// inherited. Failure guarded against: the division of zero by zero counts all slots as taken for good,
+/// and callers wait until their deadlines.
 #[test]
 fn lagging_report_leaves_the_slots_free() {
     let mut home = home(2, 8);
@@ -175,8 +175,8 @@
     assert_eq!(home.offer(job(2), pool(0.0), 20, rng), Offer::Start);
 }
 
-/// Two suspects of a crash come to one engine. The second waits until the first has run for a
-/// while, and a request that isn't suspected waits for neither.
+/// Two suspects arrive at one engine. The second waits until the first has run for a while; a request
+/// that isn't a suspect waits for neither.
 #[test]
 fn suspects_start_apart() {
     let mut home = home(8, 8);
@@ -188,7 +188,7 @@
     assert_eq!(home.offer(suspect(1), pool(0.0), 0, rng), Offer::Start);
     assert_eq!(home.offer(suspect(2), pool(0.0), 1, rng), Offer::Queued);
     assert_eq!(home.poll(1, rng), None);
-    let next = home.poll(SUSPECT_ALONE_MS, rng);
+    let next = home.poll(SUSPECT_ISOLATION_MS, rng);
     assert_eq!(next, Some(Ready::Start(JobId(2))));
     assert_eq!(home.offer(job(3), pool(0.0), 2, rng), Offer::Start);
 }
@@ -198,7 +198,7 @@
     Offer {
         account: u8,
         output_tokens: u32,
-        patience_ms: u64,
+        timeout_ms: u64,
         last_choice: bool,
         priority: Priority,
     },
@@ -214,10 +214,10 @@
     ];
     let offer = (0_u8..4, 1_u32..400, 1_u64..60_000, any::<bool>(), priority);
     let offer = offer.prop_map(
-        |(account, output_tokens, patience_ms, last_choice, priority)| Step::Offer {
+        |(account, output_tokens, timeout_ms, last_choice, priority)| Step::Offer {
             account,
             output_tokens,
-            patience_ms,
+            timeout_ms,
             last_choice,
             priority,
         },
@@ -232,11 +232,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// Whatever comes: nobody waits while a slot is free; a job that isn't a last choice never lifts
-    /// the upstream over the bound; every refusal has a cause, says "not run" and, unless the
-    /// deadline had passed, when to come back; and every job ends once.
+    /// For any sequence of steps: no job waits while a slot is free; a job that isn't a last choice
+    /// never raises the upstream above its bound; every refusal is marked as not run and has a retry
+    /// time unless the deadline had passed; and every job ends once.
     #[test]
-    fn home_keeps_its_promises(
+    fn admission_invariants_hold(
         steps in proptest::collection::vec(step(), 1..150),
         mean_work_ms in 1_000.0_f64..20_000.0,
     ) {
@@ -253,11 +253,11 @@
                     home.finish(running.swap_remove(at), now_ms);
                 }
                 Step::Finish(_) => {}
-                Step::Offer { account, output_tokens, patience_ms, last_choice, priority } => {
+                Step::Offer { account, output_tokens, timeout_ms, last_choice, priority } => {
                     let mut new = job(id.0);
                     new.account = format!("account-{account}").into();
                     new.cost.output_tokens = output_tokens;
-                    new.deadline_ms = now_ms + patience_ms;
+                    new.deadline_ms = now_ms + timeout_ms;
                     new.last_choice = last_choice;
                     new.priority = priority;
                     let idle = home.work_ms() == 0.0;
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -62,7 +62,7 @@
     tokens: f64,
     filled_ms: u64,
     running: u32,
-    came: u32,
+    received: u32,
     wanted: u32,
     since_ms: u64,
 }
@@ -98,14 +98,14 @@
         now_ms: u64,
     ) -> Result<(), Exceeded> {
         let account = self.account(account, now_ms);
-        account.came += 1;
+        account.received += 1;
         if limit.rate_per_s <= 0.0 {
             return Ok(());
         }
         let rate_per_ms = account.share(limit, routers, now_ms).rate_per_s / 1_000.0;
-        let most = (rate_per_ms * 1_000.0 * BURST_S).max(1.0);
+        let capacity = (rate_per_ms * 1_000.0 * BURST_S).max(1.0);
         let gained = now_ms.saturating_sub(account.filled_ms) as f64 * rate_per_ms;
-        account.tokens = (account.tokens + gained).min(most);
+        account.tokens = (account.tokens + gained).min(capacity);
         account.filled_ms = now_ms;
         if account.tokens < 1.0 {
             let wait_ms = (1.0 - account.tokens) / rate_per_ms.max(f64::MIN_POSITIVE);
@@ -154,17 +154,17 @@
 
     /// Returns each account's demand since the last call, and drops accounts without any.
     pub fn demands(&mut self, now_ms: u64) -> Vec<(Name, Demand)> {
-        let idle = |a: &Account| a.came == 0 && a.running == 0 && a.wanted == 0;
+        let idle = |a: &Account| a.received == 0 && a.running == 0 && a.wanted == 0;
         self.accounts.retain(|_, a| !idle(a));
         let accounts = self.accounts.iter_mut();
         accounts
             .map(|(name, a)| {
                 let span_s = now_ms.saturating_sub(a.since_ms).max(1) as f64 / 1_000.0;
                 let demand = Demand {
-                    rate_per_s: f64::from(a.came) / span_s,
+                    rate_per_s: f64::from(a.received) / span_s,
                     concurrency: f64::from(a.wanted.max(a.running)),
                 };
-                (a.came, a.wanted, a.since_ms) = (0, 0, now_ms);
+                (a.received, a.wanted, a.since_ms) = (0, 0, now_ms);
                 (name.clone(), demand)
             })
             .collect()
@@ -178,7 +178,7 @@
                 tokens: f64::INFINITY,
                 filled_ms: now_ms,
                 running: 0,
-                came: 0,
+                received: 0,
                 wanted: 0,
                 since_ms: now_ms,
             })
@@ -193,13 +193,13 @@
             return even;
         };
         let age = now_ms.saturating_sub(at_ms) as f64 / SHARE_MS as f64;
-        let left = (1.0 - age).max(0.0);
+        let remaining = (1.0 - age).max(0.0);
         let decayed = |granted: f64, even: f64| {
             if granted <= even {
                 // A share below the even one doesn't grow without a grant.
                 return granted;
             }
-            even + left * (granted - even)
+            even + remaining * (granted - even)
         };
         Limit {
             rate_per_s: decayed(granted.rate_per_s, even.rate_per_s),
@@ -235,14 +235,14 @@
     ///
     /// ```
     /// use cassiagrade::decide::limits::{ShareAllocator, Demand, Limit};
-    /// let mut accountant = ShareAllocator::default();
+    /// let mut allocator = ShareAllocator::default();
     /// let limit = Limit { rate_per_s: 90.0, concurrency: 0.0 };
     /// let wants = |rate_per_s| Demand { rate_per_s, concurrency: 0.0 };
     /// let (account, a, b) = ("acme".into(), "a".into(), "b".into());
-    /// accountant.report(&account, &a, wants(10.0), limit, 2, 0);
-    /// accountant.report(&account, &b, wants(500.0), limit, 2, 0);
-    /// assert_eq!(accountant.report(&account, &a, wants(10.0), limit, 2, 900).rate_per_s, 10.0);
-    /// assert_eq!(accountant.report(&account, &b, wants(500.0), limit, 2, 1_000).rate_per_s, 80.0);
+    /// allocator.report(&account, &a, wants(10.0), limit, 2, 0);
+    /// allocator.report(&account, &b, wants(500.0), limit, 2, 0);
+    /// assert_eq!(allocator.report(&account, &a, wants(10.0), limit, 2, 900).rate_per_s, 10.0);
+    /// assert_eq!(allocator.report(&account, &b, wants(500.0), limit, 2, 1_000).rate_per_s, 80.0);
     /// ```
     pub fn report(
         &mut self,
@@ -286,16 +286,16 @@
 pub fn fair_share(limit: f64, own: f64, mut wants: Vec<f64>, routers: usize) -> f64 {
     wants.push(own);
     wants.sort_by(f64::total_cmp);
-    let mut left = limit;
+    let mut remaining = limit;
     let count = wants.len();
     for (i, want) in wants.iter().enumerate() {
-        let even = left / (count - i) as f64;
+        let even = remaining / (count - i) as f64;
         if *want >= even {
             return own.min(even);
         }
-        left -= want;
+        remaining -= want;
     }
-    own + left / routers.max(count) as f64
+    own + remaining / routers.max(count) as f64
 }
 
 #[allow(
--- a/src/decide/limits_tests.rs
+++ b/src/decide/limits_tests.rs
@@ -12,11 +12,11 @@
     }
 }
 
-/// All callers of an account use one router of nine. An even split would refuse eight ninths of
-/// what they may have; once the accountant has answered, that router has nearly all of it.
+/// All callers of an account use one router of nine. An even split would refuse eight ninths of the
+/// limit; once shares are granted, that router has nearly all of it.
 #[test]
 fn share_moves_to_where_the_demand_is() {
-    let (mut accountant, mut limits) = (ShareAllocator::default(), Limits::default());
+    let (mut allocator, mut limits) = (ShareAllocator::default(), Limits::default());
     let (account, busy) = (Name::from("acme"), Name::from("router-0"));
     let limit = rate(90.0);
     let arrived = |limits: &mut Limits, from_ms: u64| {
@@ -25,7 +25,7 @@
             .filter(|at_ms| limits.arrive(&account, limit, 9, *at_ms).is_ok())
             .count()
     };
-    // The bucket starts with one second's worth.
+    // The bucket starts with the tokens of one second.
     arrived(&mut limits, 0);
     assert!((9..=11).contains(&arrived(&mut limits, 1_000)));
     let (_, demand) = limits.demands(2_000).pop().unwrap();
@@ -38,17 +38,17 @@
         let now_ms = 2_000 + round;
         for router in 1..9 {
             let router = format!("router-{router}").into();
-            accountant.report(&account, &router, small, limit, 9, now_ms);
+            allocator.report(&account, &router, small, limit, 9, now_ms);
         }
-        share = accountant.report(&account, &busy, demand, limit, 9, now_ms);
+        share = allocator.report(&account, &busy, demand, limit, 9, now_ms);
     }
     assert_eq!(share.rate_per_s, 82.0);
     limits.granted(&account, share, 2_000);
     assert!(arrived(&mut limits, 2_000) > 50);
 }
 
-/// The accountant can't be reached any more. The share falls to an even one, so that the fleet as
-/// a whole returns under the limit.
+/// Grants no longer arrive. The share decays to an even one, so that the fleet as a whole returns
+/// below the limit.
 #[test]
 fn share_decays_when_cut_off() {
     let mut limits = Limits::default();
@@ -58,11 +58,11 @@
     for at_ms in (SHARE_MS..SHARE_MS + 10_000).step_by(5) {
         served += u32::from(limits.arrive(&account, limit, 9, at_ms).is_ok());
     }
-    // Ten a second, and the bucket's content at the start.
+    // Ten a second, and the tokens in the bucket at the start.
     assert!((95..=200).contains(&served), "{served}");
 }
 
-/// More requests run at once than the account may have: the next is refused until one ends.
+/// More concurrent requests arrive than the account may have: the next is refused until one ends.
 #[test]
 fn concurrency_is_counted_until_the_end() {
     let mut limits = Limits::default();
@@ -84,8 +84,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// Max-min fairness: nobody gets less than both its wish and an even share, and together they
-    /// get no more than the limit.
+    /// Max-min fairness: every router gets at least the smaller of its demand and an even share, and
+    /// the sum doesn't exceed the limit.
     #[test]
     fn shares_are_max_min_fair(
         limit in 1.0_f64..1_000.0,
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Routers report in any order, as demand moves between them, and some reports get lost. The
-    /// sum of the shares in force is within the limit again when [`SHARE_MS`] have gone by since the
-    /// demand last moved, and never above twice the limit.
+    /// Routers report in any order while demand moves between them, and some reports are lost. The
+    /// sum of the shares in force is within the limit again [`SHARE_MS`] after the demand last moved,
+    /// and never exceeds twice the limit.
     #[test]
     fn shares_sum_to_the_limit(
         phases in proptest::collection::vec(proptest::array::uniform4(0.0_f64..300.0), 1..6),
@@ -114,7 +114,7 @@
     ) {
         let limit = rate(100.0);
         let account = Name::from("acme");
-        let mut accountant = ShareAllocator::default();
+        let mut allocator = ShareAllocator::default();
         let mut granted = [0.0_f64; 4];
         let mut now_ms = 0;
         for (phase, wants) in phases.iter().enumerate() {
@@ -126,7 +126,7 @@
                     }
                     let demand = Demand { rate_per_s: *want, concurrency: 0.0 };
                     let name = Name::from(format!("router-{router}"));
-                    let share = accountant.report(&account, &name, demand, limit, 4, now_ms);
+                    let share = allocator.report(&account, &name, demand, limit, 4, now_ms);
                     granted[router] = share.rate_per_s;
                 }
                 let sum: f64 = granted.iter().sum();
--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -32,23 +32,23 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Belief {
-    seen: UpstreamLoad,
+struct Entry {
+    load: UpstreamLoad,
     seq: u64,
 }
 
 /// Latest known load by upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
-    beliefs: HashMap<Name, Belief>,
+    loads: HashMap<Name, Entry>,
 }
 
 impl LoadView {
     /// Takes a load report received by gossip, unless it isn't newer than the last one.
-    pub fn reported(&mut self, upstream: &Name, seen: UpstreamLoad, seq: u64) {
-        let known = self.beliefs.entry(upstream.clone()).or_default();
+    pub fn reported(&mut self, upstream: &Name, load: UpstreamLoad, seq: u64) {
+        let known = self.loads.entry(upstream.clone()).or_default();
         if seq > known.seq {
-            *known = Belief { seen, seq };
+            *known = Entry { load, seq };
         }
     }
 
@@ -58,32 +58,32 @@
     /// use cassiagrade::decide::{Name, loads::{LoadView, UpstreamLoad}};
     /// let mut view = LoadView::default();
     /// let engine = Name::from("engine-1");
-    /// view.heard(&engine, UpstreamLoad { work_ms: 300.0, in_flight: 2, queued: 0 }, 8);
+    /// view.set_exact(&engine, UpstreamLoad { work_ms: 300.0, in_flight: 2, queued: 0 }, 8);
     /// view.sent(&engine, 50.0);
     /// // A report that is older than the answer is ignored.
     /// view.reported(&engine, UpstreamLoad { work_ms: 900.0, in_flight: 5, queued: 0 }, 7);
     /// assert_eq!(view.get(&engine).unwrap().work_ms, 350.0);
     /// ```
-    pub fn heard(&mut self, upstream: &Name, seen: UpstreamLoad, seq: u64) {
-        let belief = Belief { seen, seq };
-        self.beliefs.insert(upstream.clone(), belief);
+    pub fn set_exact(&mut self, upstream: &Name, load: UpstreamLoad, seq: u64) {
+        let entry = Entry { load, seq };
+        self.loads.insert(upstream.clone(), entry);
     }
 
     /// Adds a job that this router has just sent to `upstream`.
     pub fn sent(&mut self, upstream: &Name, work_ms: f64) {
-        let known = self.beliefs.entry(upstream.clone()).or_default();
-        known.seen.work_ms += work_ms;
-        known.seen.in_flight += 1;
+        let known = self.loads.entry(upstream.clone()).or_default();
+        known.load.work_ms += work_ms;
+        known.load.in_flight += 1;
     }
 
     /// Returns the latest known load of `upstream`.
     pub fn get(&self, upstream: &str) -> Option<UpstreamLoad> {
-        self.beliefs.get(upstream).map(|b| b.seen)
+        self.loads.get(upstream).map(|b| b.load)
     }
 
     /// Keeps only the upstreams for which `keep` is true.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.beliefs.retain(|name, _| keep(name));
+        self.loads.retain(|name, _| keep(name));
     }
 
     /// Returns the pool's load as seen from the home of the upstream `own` with its exact load, or
@@ -94,13 +94,13 @@
         let mut free_slots = 0;
         for upstream in pool {
             let exact = own.filter(|(name, _)| *name == &*upstream.name);
-            let Some(seen) = exact.map(|o| o.1).or_else(|| self.get(&upstream.name)) else {
+            let Some(load) = exact.map(|o| o.1).or_else(|| self.get(&upstream.name)) else {
                 continue;
             };
             known += 1;
-            sum_ms += seen.work_ms;
+            sum_ms += load.work_ms;
             if exact.is_none() {
-                free_slots += upstream.free(seen);
+                free_slots += upstream.free(load);
             }
         }
         PoolView {
@@ -114,7 +114,7 @@
 
 impl Slots {
     /// Returns how many jobs it could start at once at the given load.
-    pub fn free(&self, seen: UpstreamLoad) -> u32 {
-        self.slots.saturating_sub(seen.in_flight + seen.queued)
+    pub fn free(&self, load: UpstreamLoad) -> u32 {
+        self.slots.saturating_sub(load.in_flight + load.queued)
     }
 }
--- a/src/decide/lru.rs
+++ b/src/decide/lru.rs
@@ -34,12 +34,12 @@
     ///
     /// ```
     /// use cassiagrade::decide::{ChatKey, lru::LruCache};
-    /// let mut warm = LruCache::new(2);
-    /// warm.put(ChatKey(1), "a", 1);
-    /// warm.put(ChatKey(2), "b", 1);
-    /// warm.put(ChatKey(3), "c", 1);
-    /// assert_eq!(warm.get(ChatKey(1)), None);
-    /// assert_eq!(warm.get(ChatKey(3)), Some(&"c"));
+    /// let mut cache = LruCache::new(2);
+    /// cache.put(ChatKey(1), "a", 1);
+    /// cache.put(ChatKey(2), "b", 1);
+    /// cache.put(ChatKey(3), "c", 1);
+    /// assert_eq!(cache.get(ChatKey(1)), None);
+    /// assert_eq!(cache.get(ChatKey(3)), Some(&"c"));
     /// ```
     pub fn new(limit: u64) -> Self {
         Self {
@@ -65,7 +65,7 @@
         self.entries.insert(chat, entry);
         self.by_age.push_back((chat, stamp));
         self.size += size;
-        while self.size > self.limit && self.drop_oldest() {}
+        while self.size > self.limit && self.evict_oldest() {}
         self.compact();
     }
 
@@ -102,7 +102,7 @@
         })
     }
 
-    fn drop_oldest(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         let Some((chat, stamp)) = self.by_age.pop_front() else {
             return false;
         };
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -27,7 +27,7 @@
 const JOIN_WEIGHT: f64 = 0.25;
 /// Preferred upstreams to try before the least loaded of all. Each try that is over its bound costs
 /// a round trip between routers and returns that upstream's exact load.
-const LEVEL_TRIES: usize = 3;
+const PREFERRED_TRIES: usize = 3;
 /// Work of one short answer. Views that are a gossip round old differ by as much in an idle pool,
 /// where new chats should keep the first upstream of their order, to which their callers connect.
 const NOISE_MS: f64 = 250.0;
@@ -37,7 +37,7 @@
 /// KV tokens moved per millisecond over a link of 100 Gbit/s.
 const IMPORT_TOKENS_PER_MS: f64 = 80.0;
 /// The engine that has the chat cached, and the preferred ones.
-const MAX_TRIES: usize = LEVEL_TRIES + 1;
+const MAX_TRIES: usize = PREFERRED_TRIES + 1;
 /// Added to the load of an upstream without a free slot, so that it comes after all that have one.
 const FULL_MS: f64 = 1e12;
 
@@ -107,8 +107,8 @@
             if best.len() == width && best.last().is_none_or(|last| last.0 >= score) {
                 continue;
             }
-            let place = best.partition_point(|b| b.0 >= score);
-            best.insert(place, (score, at));
+            let rank_at = best.partition_point(|b| b.0 >= score);
+            best.insert(rank_at, (score, at));
             best.truncate(width);
         }
         best.into_iter().map(|(_, at)| at).collect()
@@ -130,8 +130,8 @@
         tries.extend(warm.filter(|at| load_ms[*at].is_finite()));
         let mut first = self.first(chat, policy.width.max(1));
         first.retain(|at| load_ms[*at].is_finite());
-        first.sort_by(|a, b| level(load_ms[*a]).total_cmp(&level(load_ms[*b])));
-        first.truncate(LEVEL_TRIES);
+        first.sort_by(|a, b| rounded(load_ms[*a]).total_cmp(&rounded(load_ms[*b])));
+        first.truncate(PREFERRED_TRIES);
         for at in first {
             if !tries.contains(&at) {
                 tries.push(at);
@@ -146,7 +146,7 @@
     /// Failure guarded against: with ties broken by name, all routers' chats go to the same one of
     /// the equals, which then answers late in a half idle pool and is ejected for it.
     fn least(&self, chat: ChatKey, load_ms: &[f64]) -> Option<usize> {
-        let rank = |at: &usize| (level(load_ms[*at]), util::mix(chat.0, self.hashes[*at]));
+        let rank = |at: &usize| (rounded(load_ms[*at]), util::mix(chat.0, self.hashes[*at]));
         (0..self.names.len())
             .filter(|at| load_ms[*at].is_finite())
             .min_by(|a, b| {
@@ -157,7 +157,7 @@
 }
 
 /// Rounds a load so that differences below [`NOISE_MS`] are ignored.
-fn level(load_ms: f64) -> f64 {
+fn rounded(load_ms: f64) -> f64 {
     (load_ms / NOISE_MS).floor()
 }
 
--- a/src/decide/placement_tests.rs
+++ b/src/decide/placement_tests.rs
@@ -25,18 +25,18 @@
     );
 }
 
-/// An engine joins and looks idle to every router until its load has gone round. New chats must not
-/// all be sent there: it is shown near the pool's mean at first.
+/// An engine joins and looks idle to every router until its load has been gossiped. New chats must not
+/// all be sent there: the load used for it starts near the pool's mean.
 #[test]
 fn joined_engine_is_filled_gradually() {
-    let shown = |age_ms| placement::joined_load_ms(0.0, 1_000.0, age_ms);
-    assert_eq!(shown(0), 750.0);
-    assert!(shown(JOIN_RAMP_MS / 2) < 400.0);
-    assert_eq!(shown(JOIN_RAMP_MS), 0.0);
+    let used = |age_ms| placement::joined_load_ms(0.0, 1_000.0, age_ms);
+    assert_eq!(used(0), 750.0);
+    assert!(used(JOIN_RAMP_MS / 2) < 400.0);
+    assert_eq!(used(JOIN_RAMP_MS), 0.0);
 }
 
-/// A chat is warm at an engine that is over its bound. Once it has been displaced it is remembered
-/// where it went, and returns there.
+/// A chat is cached at an engine that is over its bound. Once displaced, it is recorded at its new
+/// engine and returns there.
 #[test]
 fn displaced_chat_returns_to_where_it_went() {
     let pool = PoolIndex::new(pool(6));
@@ -44,19 +44,19 @@
     let policy = PlacementPolicy::default();
     let plan = pool.plan(chat, Some(3), &load_ms, policy);
     assert_eq!(plan.tries[0], 3);
-    let went = plan.tries[1];
-    let mut memory = LruCache::new(10);
-    memory.put(chat, went, 1);
-    let back = pool.plan(chat, memory.get(chat).copied(), &load_ms, policy);
-    assert_eq!(back.tries[0], went);
+    let displaced_to = plan.tries[1];
+    let mut cache = LruCache::new(10);
+    cache.put(chat, displaced_to, 1);
+    let back = pool.plan(chat, cache.get(chat).copied(), &load_ms, policy);
+    assert_eq!(back.tries[0], displaced_to);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// When an upstream goes, only its own chats move; the others keep their order.
+    /// When an upstream leaves, only its own chats move; the others keep their order.
     #[test]
-    fn only_the_lost_ones_chats_move(chat: u64, count in 2_usize..40, gone: prop::sample::Index) {
+    fn only_chats_of_the_removed_upstream_move(chat: u64, count in 2_usize..40, gone: prop::sample::Index) {
         let names = pool(count);
         let gone = names[gone.index(count)].clone();
         let order = placement::order(ChatKey(chat), &names);
@@ -65,10 +65,10 @@
         prop_assert_eq!(placement::order(ChatKey(chat), &fewer), kept);
     }
 
-    /// The first few by the index are the first few of the whole order, whatever the loads; no
-    /// upstream is named twice, and none that is kept out.
+    /// The index yields the same first upstreams as the whole order, whatever the loads; a plan names
+    /// no upstream twice, and no excluded one.
     #[test]
-    fn plan_names_each_once(
+    fn plan_names_each_upstream_once(
         chat: u64,
         load_ms in proptest::collection::vec(prop_oneof![Just(f64::INFINITY), 0.0..1e6], 1..30),
         warm: prop::sample::Index,
@@ -90,9 +90,9 @@
         prop_assert_eq!(plan.last.is_some(), load_ms.iter().any(|ms| ms.is_finite()));
     }
 
-    /// The memory of chats never exceeds its size, and knows the one that was put last.
+    /// The cache never exceeds its size limit, and contains the chat that was inserted last.
     #[test]
-    fn memory_is_bounded(puts in proptest::collection::vec((0_u64..50, 1_u64..20), 1..300)) {
+    fn cache_is_bounded(puts in proptest::collection::vec((0_u64..50, 1_u64..20), 1..300)) {
         let mut warm = LruCache::new(100);
         for (chat, size) in puts {
             warm.put(ChatKey(chat), chat, size);
@@ -104,8 +104,8 @@
     }
 }
 
-/// A half idle pool: every engine has about the same load, and many chats find their first choices
-/// over the bound. Their last choices must not all be the one engine whose name comes first.
+/// In a half idle pool every engine has about the same load, and many chats find their first choices
+/// over the bound. Their last choices must not all be the engine whose name sorts first.
 #[test]
 fn last_choices_spread_over_equals() {
     let names: Vec<Name> = (0..18).map(|i| Name::from(format!("engine-{i}"))).collect();
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -5,7 +5,7 @@
 //! in flight beside it.
 //!
 //! When an engine dies, each request in flight there becomes a suspect. Suspects start one at a time
-//! at an engine, [`crate::decide::home::SUSPECT_ALONE_MS`] apart. If the engine dies again under a
+//! at an engine, [`crate::decide::home::SUSPECT_ISOLATION_MS`] apart. If the engine dies again under a
 //! sole suspect, that one is quarantined. With several, none is: the harmless ones succeed and are
 //! cleared, so the harmful one soon is the sole one left. A harmless request is therefore
 //! quarantined only if engines die for other reasons each time it runs: twice, the second time with
@@ -20,11 +20,11 @@
 use crate::util;
 
 /// Duration of a quarantine; a caller that repeats the request after a fix is then served.
-pub const CONVICTION_MS: u64 = 300_000;
+pub const QUARANTINE_MS: u64 = 300_000;
 /// How long a request stays a suspect.
 pub const SUSPICION_MS: u64 = 300_000;
 /// Deaths after which a sole suspect is quarantined.
-const DEATHS: u32 = 2;
+const SOLE_SUSPECT_DEATHS: u32 = 2;
 /// Deaths after which a suspect is quarantined even beside others: four are more than chance.
 pub const MANY_DEATHS: u32 = 4;
 /// Beyond this the oldest entries are evicted: a fleet that loses a whole data centre suspects all
@@ -47,7 +47,7 @@
     /// It may run, but not beside other suspects.
     Suspect,
     /// It may not run.
-    Convicted {
+    Quarantined {
         /// Remaining time of the quarantine.
         left_ms: u64,
     },
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     deaths: u32,
-    convicted: bool,
+    quarantined: bool,
     at_ms: u64,
 }
 
@@ -73,9 +73,9 @@
             return QuarantineStatus::Free;
         };
         let age_ms = now_ms.saturating_sub(entry.at_ms);
-        if entry.convicted && age_ms < CONVICTION_MS {
-            let left_ms = CONVICTION_MS - age_ms;
-            return QuarantineStatus::Convicted { left_ms };
+        if entry.quarantined && age_ms < QUARANTINE_MS {
+            let left_ms = QUARANTINE_MS - age_ms;
+            return QuarantineStatus::Quarantined { left_ms };
         }
         if age_ms < SUSPICION_MS {
             return QuarantineStatus::Suspect;
@@ -89,28 +89,28 @@
     /// ```
     /// use cassiagrade::decide::quarantine::{Quarantine, QuarantineStatus};
     /// let mut quarantine = Quarantine::default();
-    /// quarantine.died(7, false, 0);
+    /// quarantine.record_death(7, false, 0);
     /// assert_eq!(quarantine.status(7, 1), QuarantineStatus::Suspect);
-    /// quarantine.died(7, true, 10);
-    /// assert!(matches!(quarantine.status(7, 11), QuarantineStatus::Convicted { .. }));
+    /// quarantine.record_death(7, true, 10);
+    /// assert!(matches!(quarantine.status(7, 11), QuarantineStatus::Quarantined { .. }));
     /// ```
-    pub fn died(&mut self, fingerprint: u64, sole: bool, now_ms: u64) -> u32 {
-        let held = self.status(fingerprint, now_ms) != QuarantineStatus::Free;
-        let before = self.entries.get(&fingerprint).filter(|_| held);
+    pub fn record_death(&mut self, fingerprint: u64, sole: bool, now_ms: u64) -> u32 {
+        let is_listed = self.status(fingerprint, now_ms) != QuarantineStatus::Free;
+        let before = self.entries.get(&fingerprint).filter(|_| is_listed);
         let deaths = before.map_or(0, |e| e.deaths) + 1;
-        let convicted = sole && deaths >= DEATHS || deaths >= MANY_DEATHS;
+        let quarantined = sole && deaths >= SOLE_SUSPECT_DEATHS || deaths >= MANY_DEATHS;
         // Only the count is sent to other routers, so a quarantined request counts as many deaths.
-        let deaths = if convicted {
+        let deaths = if quarantined {
             deaths.max(MANY_DEATHS)
         } else {
             deaths
         };
-        self.hold(fingerprint, deaths, now_ms);
+        self.insert(fingerprint, deaths, now_ms);
         deaths
     }
 
     /// Clears a request that was answered completely. Returns whether it had an entry.
-    pub fn succeeded(&mut self, fingerprint: u64) -> bool {
+    pub fn clear(&mut self, fingerprint: u64) -> bool {
         self.entries.remove(&fingerprint).is_some()
     }
 
@@ -136,7 +136,7 @@
         }
         let known = self.entries.get(&fingerprint).copied();
         if known.is_none_or(|k| deaths > k.deaths) {
-            self.hold(fingerprint, deaths, at_ms);
+            self.insert(fingerprint, deaths, at_ms);
         }
     }
 
@@ -145,17 +145,17 @@
         Refusal::not_run(Cause::Quarantined, jittered_ms(left_ms, rng))
     }
 
-    fn hold(&mut self, fingerprint: u64, deaths: u32, at_ms: u64) {
+    fn insert(&mut self, fingerprint: u64, deaths: u32, at_ms: u64) {
         if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&fingerprint) {
             let oldest = self.entries.iter().min_by_key(|(_, e)| e.at_ms);
             if let Some(oldest) = oldest.map(|(k, _)| *k) {
                 self.entries.remove(&oldest);
             }
         }
-        let convicted = deaths >= MANY_DEATHS;
+        let quarantined = deaths >= MANY_DEATHS;
         let entry = Entry {
             deaths,
-            convicted,
+            quarantined,
             at_ms,
         };
         self.entries.insert(fingerprint, entry);
--- a/src/decide/quarantine_tests.rs
+++ b/src/decide/quarantine_tests.rs
@@ -1,42 +1,42 @@
-use crate::decide::quarantine::{CONVICTION_MS, Quarantine, QuarantineStatus};
+use crate::decide::quarantine::{QUARANTINE_MS, Quarantine, QuarantineStatus};
 
-const GUILTY: u64 = 1;
+const HARMFUL: u64 = 1;
 
-/// A request kills an engine with five innocent ones beside it, and all six are sent again. They
-/// start apart; the guilty one kills a second engine, is convicted, and the caller's next re-send
-/// meets that. The innocent ones are answered and cleared.
+/// A request crashes an engine with five harmless ones beside it, and all six are sent again, at
+/// different times. The harmful one crashes a second engine and is quarantined, so its next repetition
+/// is refused. The harmless ones are answered and cleared.
 #[test]
-fn guilty_request_is_convicted_and_innocent_ones_cleared() {
+fn harmful_request_is_quarantined_and_harmless_ones_cleared() {
     let mut quarantine = Quarantine::default();
     for fingerprint in 1..=6 {
-        quarantine.died(fingerprint, false, 0);
+        quarantine.record_death(fingerprint, false, 0);
         assert_eq!(quarantine.status(fingerprint, 1), QuarantineStatus::Suspect);
     }
-    for innocent in 2..=6 {
-        assert!(quarantine.succeeded(innocent));
-        assert_eq!(quarantine.status(innocent, 2), QuarantineStatus::Free);
+    for harmless in 2..=6 {
+        assert!(quarantine.clear(harmless));
+        assert_eq!(quarantine.status(harmless, 2), QuarantineStatus::Free);
     }
-    quarantine.died(GUILTY, true, 3);
-    let left_ms = CONVICTION_MS - 1;
+    quarantine.record_death(HARMFUL, true, 3);
+    let left_ms = QUARANTINE_MS - 1;
     assert_eq!(
-        quarantine.status(GUILTY, 4),
-        QuarantineStatus::Convicted { left_ms }
+        quarantine.status(HARMFUL, 4),
+        QuarantineStatus::Quarantined { left_ms }
     );
-    let after_ms = CONVICTION_MS + 4;
+    let after_ms = QUARANTINE_MS + 4;
     assert_ne!(
-        quarantine.status(GUILTY, after_ms),
-        QuarantineStatus::Convicted { left_ms }
+        quarantine.status(HARMFUL, after_ms),
+        QuarantineStatus::Quarantined { left_ms }
     );
 }
 
-/// Two suspects run at one engine when it dies. Neither is convicted: one of them is innocent, and
-/// nobody can tell which.
+/// Two suspects run at one engine when it dies. Neither is quarantined, because it isn't known which
+/// of them crashed the engine.
 #[test]
-fn two_suspects_beside_each_other_are_not_convicted() {
+fn two_suspects_beside_each_other_are_not_quarantined() {
     let mut quarantine = Quarantine::default();
-    for fingerprint in [GUILTY, 2] {
-        quarantine.died(fingerprint, false, 0);
-        quarantine.died(fingerprint, false, 10);
+    for fingerprint in [HARMFUL, 2] {
+        quarantine.record_death(fingerprint, false, 0);
+        quarantine.record_death(fingerprint, false, 10);
         assert_eq!(
             quarantine.status(fingerprint, 11),
             QuarantineStatus::Suspect
@@ -44,18 +44,18 @@
     }
 }
 
-/// The re-send comes through another router. It knows by what it was told.
+/// The request is repeated through another router, which has received the first router's entry.
 #[test]
-fn conviction_is_told_to_others() {
+fn quarantine_is_merged_by_other_routers() {
     let (mut first, mut second) = (Quarantine::default(), Quarantine::default());
-    first.died(GUILTY, false, 0);
-    let deaths = first.died(GUILTY, true, 10);
-    second.merge(GUILTY, deaths, false, 5, 1_000);
-    let status = second.status(GUILTY, 1_000);
+    first.record_death(HARMFUL, false, 0);
+    let deaths = first.record_death(HARMFUL, true, 10);
+    second.merge(HARMFUL, deaths, false, 5, 1_000);
+    let status = second.status(HARMFUL, 1_000);
     assert!(
-        matches!(status, QuarantineStatus::Convicted { .. }),
+        matches!(status, QuarantineStatus::Quarantined { .. }),
         "{status:?}"
     );
-    second.merge(GUILTY, 0, true, 0, 2_000);
-    assert_eq!(second.status(GUILTY, 2_000), QuarantineStatus::Free);
+    second.merge(HARMFUL, 0, true, 0, 2_000);
+    assert_eq!(second.status(HARMFUL, 2_000), QuarantineStatus::Free);
 }
--- a/src/decide/retry_tests.rs
+++ b/src/decide/retry_tests.rs
@@ -3,9 +3,9 @@
 
 use crate::decide::retry::{FailedAttempt, RetryBudget};
 
-/// A pool fails three tries in four for a while, and each request is tried up to five times. With
-/// no budget the pool gets several times its load (a retry storm); with one, little more than
-/// its load, and what can't be retried is refused.
+/// A pool fails three attempts in four for a while, and each request is tried up to five times. Without
+/// a budget the pool gets several times its load (a retry storm); with one, little more than its
+/// load, and further retries are refused.
 #[test]
 fn retry_storm_is_bounded_by_the_budget() {
     let tries = |mut budget: Option<RetryBudget>| {
@@ -38,7 +38,7 @@
     assert!(on <= 1.21, "on: {on} times the load");
 }
 
-/// A hundred requests fail together. Full jitter spreads their next tries over the whole pause.
+/// A hundred requests fail together. Full jitter spreads their retries over the whole pause.
 #[test]
 fn pauses_are_spread() {
     let rng = &mut SmallRng::seed_from_u64(1);
@@ -55,7 +55,7 @@
     assert!((35..65).contains(&early), "{early}");
 }
 
-/// The pause would outlast the caller's deadline: no try is made that nobody waits for.
+/// The pause would exceed the caller's deadline, so there is no retry.
 #[test]
 fn no_retry_past_the_deadline() {
     let rng = &mut SmallRng::seed_from_u64(1);
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -28,7 +28,7 @@
 pub struct Shedder {
     order: Vec<Priority>,
     level: f64,
-    judged_ms: u64,
+    evaluated_ms: u64,
     least_wait_ms: Option<u64>,
 }
 
@@ -48,7 +48,7 @@
         Self {
             order,
             level: 0.0,
-            judged_ms: 0,
+            evaluated_ms: 0,
             least_wait_ms: None,
         }
     }
@@ -57,11 +57,11 @@
     pub fn observe(&mut self, wait_ms: u64, now_ms: u64) {
         let least = self.least_wait_ms.unwrap_or(u64::MAX);
         self.least_wait_ms = Some(least.min(wait_ms));
-        let intervals = now_ms.saturating_sub(self.judged_ms) / INTERVAL_MS;
+        let intervals = now_ms.saturating_sub(self.evaluated_ms) / INTERVAL_MS;
         if intervals == 0 {
             return;
         }
-        self.judged_ms = now_ms;
+        self.evaluated_ms = now_ms;
         let standing = self.least_wait_ms.take() > Some(TARGET_WAIT_MS);
         // Intervals without a call had no standing queue.
         let change = if standing {
--- a/src/decide/shed_tests.rs
+++ b/src/decide/shed_tests.rs
@@ -4,8 +4,8 @@
 use crate::decide::Priority;
 use crate::decide::shed::Shedder;
 
-/// A pool is short of engines for half a minute. Batch work is shed first, then, if that doesn't
-/// help, normal work; urgent work never, since the operator didn't list it.
+/// A pool lacks engines for half a minute. Batch work is shed first, then normal work if that isn't
+/// enough; urgent work never, because the operator didn't list it.
 #[test]
 fn classes_are_shed_in_the_operators_order() {
     let mut shedder = Shedder::new(vec![Priority::Batch, Priority::Normal]);
@@ -26,8 +26,8 @@
     assert!(!shedder.sheds(Priority::Urgent, rng));
 }
 
-/// The brown-out ends. What was shed comes back over seconds, in small steps: all at once would be
-/// a second peak.
+/// The overload ends. Shed work is readmitted over seconds in small steps: all at once would be a
+/// second peak.
 #[test]
 fn recovery_is_gradual() {
     let mut shedder = Shedder::new(vec![Priority::Batch]);
@@ -44,7 +44,7 @@
     assert_eq!(shares.last(), Some(&0.0));
 }
 
-/// A burst fills the queue and drains within half a second, again and again: nothing is shed.
+/// A burst fills the queue and drains within half a second, repeatedly: nothing is shed.
 #[test]
 fn short_burst_sheds_nothing() {
     let mut shedder = Shedder::new(vec![Priority::Batch]);
--- a/src/decide/short_requests_tests.rs
+++ b/src/decide/short_requests_tests.rs
@@ -1,8 +1,9 @@
-//! A small pool of short requests before many routers: what exact counts would be worth.
+//! Value of exact counts for a small pool of short requests behind many routers.
 //!
-//! Requests that are over before the routers have told one another of them can't be counted by all. A router that goes by
-//! its own counts is held against one that knows what every upstream runs at that moment, as a permit from a home for each
-//! request would have it, at the cost of a round trip and a host that can fail.
+//! Requests that end before the routers have exchanged their counts can't be counted by all. A router
+//! that uses its own counts is compared with one that knows what every upstream runs at that moment.
+//! The latter would take a permit from a home for each request, at the cost of a round trip and of a
+//! host that can fail.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,14 +19,14 @@
 const QUEUE: usize = 24;
 const WORK_US: u64 = 60_000;
 const OBJECTIVE_US: u64 = 300_000;
-const DAY_US: u64 = 60_000_000;
+const DURATION_US: u64 = 60_000_000;
 
-/// How a router chooses.
+/// Which counts a router chooses by.
 #[derive(Clone, Copy)]
-enum Way {
-    /// The least of its own, chance among equals.
+enum ChooseBy {
+    /// Its own counts, random among equals.
     Own,
-    /// The least of all that run and wait there now.
+    /// All requests that run and wait there now.
     Exact,
 }
 
@@ -34,7 +35,7 @@
     ends_us: u64,
     upstream: usize,
     router: usize,
-    came_us: u64,
+    received_us: u64,
 }
 
 struct Pool {
@@ -49,7 +50,7 @@
 }
 
 impl Pool {
-    fn choose(&mut self, way: Way, router: usize, tried: &[usize]) -> Option<usize> {
+    fn choose(&mut self, choose_by: ChooseBy, router: usize, tried: &[usize]) -> Option<usize> {
         let candidate = |at: usize| {
             let waiting = u32::try_from(self.waiting[at].len()).unwrap();
             Candidate {
@@ -60,27 +61,27 @@
             }
         };
         let candidates: Vec<Candidate> = (0..UPSTREAMS).map(candidate).collect();
-        let counts = match way {
-            Way::Own => Counts::Stale,
-            Way::Exact => Counts::Current,
+        let counts = match choose_by {
+            ChooseBy::Own => Counts::Stale,
+            ChooseBy::Exact => Counts::Current,
         };
         by_load(&candidates, counts, &mut self.rng)
     }
 
-    fn start(&mut self, upstream: usize, router: usize, came_us: u64, now_us: u64) {
+    fn start(&mut self, upstream: usize, router: usize, received_us: u64, now_us: u64) {
         self.running[upstream] += 1;
         let took_us = WORK_US * self.rng.random_range(70..130) / 100;
         self.runs.push(Reverse(Run {
             ends_us: now_us + took_us,
             upstream,
             router,
-            came_us,
+            received_us,
         }));
     }
 
-    fn arrive(&mut self, way: Way, router: usize, now_us: u64) {
+    fn arrive(&mut self, choose_by: ChooseBy, router: usize, now_us: u64) {
         let mut tried = Vec::new();
-        while let Some(at) = self.choose(way, router, &tried) {
+        while let Some(at) = self.choose(choose_by, router, &tried) {
             if self.running[at] < SLOTS {
                 self.own[router][at] += 1;
                 return self.start(at, router, now_us, now_us);
@@ -101,20 +102,20 @@
             self.runs.pop();
             self.running[run.upstream] -= 1;
             self.own[run.router][run.upstream] -= 1;
-            if run.ends_us - run.came_us <= OBJECTIVE_US {
+            if run.ends_us - run.received_us <= OBJECTIVE_US {
                 self.in_time += 1;
             } else {
                 self.late += 1;
             }
-            if let Some((router, came_us)) = self.waiting[run.upstream].pop_front() {
-                self.start(run.upstream, router, came_us, run.ends_us);
+            if let Some((router, received_us)) = self.waiting[run.upstream].pop_front() {
+                self.start(run.upstream, router, received_us, run.ends_us);
             }
         }
     }
 }
 
-/// The share that isn't answered in time at `load` times what the pool can do.
-fn missed(way: Way, routers: usize, load: f64, seed: u64) -> f64 {
+/// Returns the share of requests not answered in time at `load` times the pool's capacity.
+fn missed(choose_by: ChooseBy, routers: usize, load: f64, seed: u64) -> f64 {
     let mut pool = Pool {
         running: [0; UPSTREAMS],
         waiting: Default::default(),
@@ -127,28 +128,28 @@
     };
     let per_us = load * UPSTREAMS as f64 * f64::from(SLOTS) / WORK_US as f64;
     let mut now_us = 0.0_f64;
-    while now_us < DAY_US as f64 {
+    while now_us < DURATION_US as f64 {
         now_us += -(1.0 - pool.rng.random::<f64>()).ln() / per_us;
         pool.end_until(now_us as u64);
         let router = pool.rng.random_range(0..routers);
-        pool.arrive(way, router, now_us as u64);
+        pool.arrive(choose_by, router, now_us as u64);
     }
     pool.end_until(u64::MAX);
     let missed = f64::from(pool.late + pool.refused);
     missed / (missed + f64::from(pool.in_time))
 }
 
-/// Tickets of 60 ms come to four upstreams through fleets of any size, up to nine tenths of what these can do. By its own
-/// counts alone a router sends almost at random, and no more are late than if it knew all: the pool's queues are
-/// short beside the objective.
+/// Requests of 60 ms arrive at four upstreams through fleets of several sizes, at up to nine tenths of the
+/// capacity. By its own counts a router sends almost at random, yet no more requests are late than with
+/// exact counts: the pool's queues are short compared with the objective.
 #[test_case(9)]
 #[test_case(71)]
 #[test_case(390)]
 fn own_counts_serve_as_well_as_exact_ones(routers: usize) {
     for load in [0.3, 0.6, 0.9] {
         let (own, exact) = (
-            missed(Way::Own, routers, load, 1),
-            missed(Way::Exact, routers, load, 1),
+            missed(ChooseBy::Own, routers, load, 1),
+            missed(ChooseBy::Exact, routers, load, 1),
         );
         println!(
             "{routers} routers, load {load}: {own:.3} missed by own counts, {exact:.3} by exact ones"
@@ -160,13 +161,13 @@
     }
 }
 
-/// The same at and above what the pool can do: exact counts win little, as what then counts is who is admitted.
+/// At and above the capacity exact counts gain little, because admission then decides.
 #[test]
 fn overload_isnt_a_matter_of_counts() {
     for load in [0.95, 1.0, 1.1, 1.3, 1.5] {
         let (own, exact) = (
-            missed(Way::Own, 71, load, 1),
-            missed(Way::Exact, 71, load, 1),
+            missed(ChooseBy::Own, 71, load, 1),
+            missed(ChooseBy::Exact, 71, load, 1),
         );
         println!(
             "71 routers, load {load}: {own:.3} missed by own counts, {exact:.3} by exact ones"
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -26,7 +26,7 @@
 pub const BOUND_FACTOR: f64 = 1.4;
 /// Multiple of the mean over the pool with its withheld upstreams: if a data centre is evacuated,
 /// the other upstreams exceed that mean anyway, and frequent parts add to it.
-pub const WHOLE_FACTOR: f64 = 1.7;
+pub const WITHHELD_FACTOR: f64 = 1.7;
 /// Requests beyond the mean: with few in flight, a factor alone would move parts at each request.
 pub const BOUND_SLACK: f64 = 2.0;
 
@@ -61,15 +61,15 @@
 ///
 /// ```
 /// use cassiagrade::decide::spread::shrink_to_mean;
-/// let mut told = [9.0, 3.0, 0.0];
-/// shrink_to_mean(&mut told, 0.25);
-/// assert_eq!(told, [6.5, 3.5, 2.0]);
+/// let mut counts = [9.0, 3.0, 0.0];
+/// shrink_to_mean(&mut counts, 0.25);
+/// assert_eq!(counts, [6.5, 3.5, 2.0]);
 /// ```
-pub fn shrink_to_mean(told: &mut [f64], share: f64) {
-    let mean = told.iter().sum::<f64>() / told.len().max(1) as f64;
-    let kept = share.clamp(0.0, 1.0).sqrt();
-    for count in told {
-        *count = mean + (*count - mean) * kept;
+pub fn shrink_to_mean(counts: &mut [f64], share: f64) {
+    let mean = counts.iter().sum::<f64>() / counts.len().max(1) as f64;
+    let weight = share.clamp(0.0, 1.0).sqrt();
+    for count in counts {
+        *count = mean + (*count - mean) * weight;
     }
 }
 
@@ -120,9 +120,9 @@
     fn limit(self, pool: &[Candidate]) -> f64 {
         match self {
             Self::ByMean => {
-                let of_open = mean(pool, |s| !s.excluded) * BOUND_FACTOR;
-                let of_whole = mean(pool, |s| !s.excluded || s.withheld) * WHOLE_FACTOR;
-                of_open.min(of_whole) + BOUND_SLACK
+                let of_available = mean(pool, |s| !s.excluded) * BOUND_FACTOR;
+                let of_all = mean(pool, |s| !s.excluded || s.withheld) * WITHHELD_FACTOR;
+                of_available.min(of_all) + BOUND_SLACK
             }
             Self::BySlots => f64::INFINITY,
         }
@@ -157,9 +157,9 @@
 /// ```
 pub fn by_part(part: u64, pool: &[Candidate], bound: Bound) -> Option<Selection> {
     let bound = bound.limit(pool);
-    let has_room = |s: &Candidate| !s.excluded && !s.is_full() && f64::from(s.running) < bound;
-    let open = pool.iter().enumerate().filter(|(_, s)| has_room(s));
-    let best = open.max_by_key(|(_, s)| util::mix(part, s.id_hash));
+    let is_available = |s: &Candidate| !s.excluded && !s.is_full() && f64::from(s.running) < bound;
+    let available = pool.iter().enumerate().filter(|(_, s)| is_available(s));
+    let best = available.max_by_key(|(_, s)| util::mix(part, s.id_hash));
     let at = best.map(|(at, _)| at).or_else(|| least(pool))?;
     let holders = pool.iter().enumerate().filter(|(_, s)| s.has_parts);
     let holder = holders.max_by_key(|(_, s)| util::mix(part, s.id_hash));
@@ -181,15 +181,15 @@
 /// assert_eq!(by_load(&pool, Counts::Stale, &mut rng), Some(0));
 /// ```
 pub fn by_load<R: Rng>(pool: &[Candidate], counts: Counts, rng: &mut R) -> Option<usize> {
-    let open = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
+    let available = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
     let key = |s: &Candidate, rng: &mut R| match counts {
         Counts::Current => (s.running, !s.is_local, rng.random::<u32>()),
         Counts::Stale => (s.own, false, rng.random()),
     };
-    open.min_by_key(|(_, s)| key(s, rng)).map(|(at, _)| at)
+    available.min_by_key(|(_, s)| key(s, rng)).map(|(at, _)| at)
 }
 
 fn least(pool: &[Candidate]) -> Option<usize> {
-    let open = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
-    open.min_by_key(|(_, s)| s.running).map(|(at, _)| at)
+    let available = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
+    available.min_by_key(|(_, s)| s.running).map(|(at, _)| at)
 }
--- a/src/decide/spread_tests.rs
+++ b/src/decide/spread_tests.rs
@@ -13,11 +13,10 @@
     (0..size).map(candidate).collect()
 }
 
-/// Every fourth request asks about one and the same thing. Sent by its shared part alone, that
-/// part's upstream would hold a quarter of all requests and its callers would wait, while the
-/// others idle.
+/// Every fourth request has the same shared part. Sent by its part alone, a quarter of all requests would
+/// go to that part's upstream and wait there while the others idle.
 #[test]
-fn hot_part_stays_below_the_bound() {
+fn frequent_part_stays_below_the_bound() {
     let mut pool = pool(12, 64);
     let mut rng = SmallRng::seed_from_u64(7);
     for _ in 0..240 {
@@ -34,18 +33,18 @@
     assert!(f64::from(most) <= bound + 1.0, "{most} at one upstream");
 }
 
-/// A thing that is asked about again and again while the pool is quiet: its part must be read at
-/// one upstream only.
+/// The same part is requested repeatedly while the pool is quiet: it must be prefilled at one upstream
+/// only.
 #[test]
 fn quiet_part_stays_at_one_upstream() {
     let pool = pool(12, 64);
-    let places: std::collections::HashSet<_> = (0..50)
+    let upstreams: std::collections::HashSet<_> = (0..50)
         .map(|_| by_part(99, &pool, Bound::ByMean).unwrap().at)
         .collect();
-    assert_eq!(places.len(), 1);
+    assert_eq!(upstreams.len(), 1);
 }
 
-/// One upstream is replaced: only its own parts may move, or the whole pool reads anew.
+/// One upstream is replaced: only its own parts may move, or the whole pool prefills its parts again.
 #[test]
 fn other_parts_stay_when_one_upstream_goes() {
     let whole = pool(12, 64);
@@ -55,7 +54,7 @@
         let before = by_part(part, &whole, Bound::ByMean).unwrap().at;
         let after = by_part(part, &fewer, Bound::ByMean).unwrap();
         if before == 3 {
-            // It leaves but still answers: the new place fetches from it.
+            // It is excluded but still answers, so the new upstream fetches from it.
             assert_eq!(after.source, Some(3));
         } else {
             assert_eq!(after.at, before);
@@ -63,9 +62,10 @@
     }
 }
 
-/// All upstreams are full or failing: a choice of a failing one would lose the request.
+/// All upstreams are full or failing. A failing one must not be chosen, because the request would be
+/// lost.
 #[test]
-fn barred_upstreams_get_nothing() {
+fn excluded_upstreams_get_nothing() {
     let mut pool = pool(3, 2);
     pool[0].excluded = true;
     pool[1].excluded = true;
@@ -78,84 +78,85 @@
     assert_eq!(by_load(&pool, Counts::Current, &mut rng), None);
 }
 
-/// An upstream joins and becomes the first of some parts' orders, with an empty cache. Reading these
-/// parts anew takes its time while all their callers wait; the one that had them still does.
+/// An upstream joins with an empty cache and becomes the first of some parts' orders. Prefilling these
+/// parts again would delay all their callers; the earlier upstream still has them.
 #[test]
-fn new_upstream_fetches_from_the_one_before() {
+fn new_upstream_fetches_from_the_earlier_one() {
     let mut pool = pool(12, 64);
     let part = (0..)
         .find(|p| by_part(*p, &pool, Bound::ByMean).unwrap().at == 5)
         .unwrap();
     pool[5].has_parts = false;
-    let placed = by_part(part, &pool, Bound::ByMean).unwrap();
-    assert_eq!(placed.at, 5);
-    let second = placed.source.unwrap();
+    let selection = by_part(part, &pool, Bound::ByMean).unwrap();
+    assert_eq!(selection.at, 5);
+    let second = selection.source.unwrap();
     pool[5].excluded = true;
     assert_eq!(by_part(part, &pool, Bound::ByMean).unwrap().at, second);
 }
 
-/// 333 short requests a second come to 195 routers before five upstreams that run six at once and let four wait. The
-/// routers tell one another five times a second, and a request takes 60 ms. All go to the upstream that had the least,
-/// and callers are turned away though the pool is at two thirds of its load.
+/// 333 short requests a second arrive at 195 routers in front of five upstreams that run six at once and
+/// let four wait. The routers exchange counts five times a second, and a request takes 60 ms. All go to
+/// the upstream with the lowest count, and requests are refused although the pool is at two thirds of
+/// its capacity.
 #[test]
-fn old_counts_say_nothing_of_short_requests() {
-    let by_old_counts = turned_away(Counts::Current);
-    let by_own = turned_away(Counts::of_age(200.0, Some(60.0)));
+fn stale_counts_are_useless_for_short_requests() {
+    let by_old_counts = refused_share(Counts::Current);
+    let by_own = refused_share(Counts::of_age(200.0, Some(60.0)));
     assert!(
         by_old_counts > 0.05,
-        "{by_old_counts} turned away by old counts"
+        "{by_old_counts} refused by old counts"
     );
-    assert!(by_own < 0.01, "{by_own} turned away by own counts");
+    assert!(by_own < 0.01, "{by_own} refused by own counts");
 }
 
-/// The share of requests that their upstream turns away.
-fn turned_away(counts: Counts) -> f64 {
+/// Returns the share of requests that their upstream refuses.
+fn refused_share(counts: Counts) -> f64 {
     const ROUTERS: usize = 195;
     const REQUESTS: u32 = 5_000;
-    const TAKES_MS: u64 = 60;
-    const TOLD_MS: u64 = 200;
-    const ROOM: usize = 10;
+    const DURATION_MS: u64 = 60;
+    const REPORT_INTERVAL_MS: u64 = 200;
+    const CAPACITY: usize = 10;
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut told = [0_u32; 5];
-    // The ends of the requests at each upstream, and who sent them.
+    let mut reported = [0_u32; 5];
+    // The end times of the requests at each upstream, and their routers.
     let mut running: [Vec<(u64, usize)>; 5] = Default::default();
     let mut refused = 0;
-    let mut last_told = 0;
+    let mut last_reported = 0;
     for n in 0..REQUESTS {
         let now_ms = u64::from(n) * 3;
         for at_upstream in &mut running {
             at_upstream.retain(|(end_ms, _)| *end_ms > now_ms);
         }
-        if now_ms / TOLD_MS != last_told {
-            last_told = now_ms / TOLD_MS;
-            told = running.each_ref().map(|r| u32::try_from(r.len()).unwrap());
+        if now_ms / REPORT_INTERVAL_MS != last_reported {
+            last_reported = now_ms / REPORT_INTERVAL_MS;
+            reported = running.each_ref().map(|r| u32::try_from(r.len()).unwrap());
         }
         let router = rng.random_range(0..ROUTERS);
         let candidate = |at: usize| {
             let own = running[at].iter().filter(|(_, by)| *by == router).count();
             let own = u32::try_from(own).unwrap();
             Candidate {
-                running: told[at] + own,
+                running: reported[at] + own,
                 own,
                 ..Candidate::default()
             }
         };
         let candidates: Vec<Candidate> = (0..running.len()).map(candidate).collect();
         let at = by_load(&candidates, counts, &mut rng).unwrap();
-        if running[at].len() >= ROOM {
+        if running[at].len() >= CAPACITY {
             refused += 1;
         } else {
-            running[at].push((now_ms + TAKES_MS, router));
+            running[at].push((now_ms + DURATION_MS, router));
         }
     }
     f64::from(refused) / f64::from(REQUESTS)
 }
 
-/// One of three data centres is evacuated: its upstreams run dry, and the others hold half more than the mean of all. A hot
-/// part must not lift one of them to over twice that mean, where its callers notice the pauses, though by the mean of those
-/// that take work it could.
+/// One of three data centres is evacuated: its upstreams run empty, and the others have half more than
+/// the mean of all. A frequent part must not raise one of them to over twice that mean, where callers
+/// notice the pauses, although the mean of the open upstreams would allow it.
 #[test]
-fn hot_part_stays_below_the_bound_beside_an_evacuation() {
+fn frequent_part_stays_below_the_bound_beside_an_evacuation() {
     let candidate = |i: u64| Candidate {
         id_hash: i,
         running: if i < 30 { 0 } else { 9 },
@@ -173,7 +174,7 @@
         added += 1;
     }
     let mean = f64::from(pool.iter().map(|s| s.running).sum::<u32>()) / 90.0;
-    assert!(added >= 3, "some room for a hot part");
+    assert!(added >= 3, "some capacity for a frequent part");
     assert!(
         f64::from(pool[first].running) <= 2.0 * mean + 1.0,
         "{:?}",
--- a/src/decide/take_over.rs
+++ b/src/decide/take_over.rs
@@ -27,12 +27,12 @@
 
     /// Returns the estimated number of jobs still running.
     pub(crate) fn jobs(&self, now_ms: u64) -> f64 {
-        self.jobs * self.left(now_ms)
+        self.jobs * self.remaining(now_ms)
     }
 
     /// Returns their estimated work in engine milliseconds.
     pub(crate) fn work_ms(&self, now_ms: u64) -> f64 {
-        self.work_ms * self.left(now_ms)
+        self.work_ms * self.remaining(now_ms)
     }
 
     /// Lowers the estimate to the upstream's report that it runs `jobs` not started by this home.
@@ -40,16 +40,16 @@
     /// Failure guarded against: with nothing inherited, a report that lags behind this home's own
     /// first job would divide zero by zero. The home would then count NaN jobs and never have a free
     /// slot again.
-    pub(crate) fn correct(&mut self, jobs: f64, now_ms: u64) {
-        let believed = self.jobs(now_ms);
-        if believed > 0.0 && jobs < believed {
-            let kept = jobs.max(0.0) / believed;
-            self.jobs *= kept;
-            self.work_ms *= kept;
+    pub(crate) fn lower_to(&mut self, jobs: f64, now_ms: u64) {
+        let expected = self.jobs(now_ms);
+        if expected > 0.0 && jobs < expected {
+            let ratio = jobs.max(0.0) / expected;
+            self.jobs *= ratio;
+            self.work_ms *= ratio;
         }
     }
 
-    fn left(&self, now_ms: u64) -> f64 {
+    fn remaining(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.since_ms).min(TAKE_OVER_MS);
         1.0 - age_ms as f64 / TAKE_OVER_MS as f64
     }
--- a/src/path/gate.rs
+++ b/src/path/gate.rs
@@ -115,7 +115,7 @@
         let mut wishes = Vec::new();
         for (service, gate) in self.gates.borrow_mut().iter_mut() {
             let slots_open = state.slots_open(service, now_ms);
-            gate.slots_open = slots_open.map(|p| f64::from(p) * gate.admission.fill());
+            gate.slots_open = slots_open.map(|p| f64::from(p) * gate.admission.requests_per_slot());
             gate.others = state.demands_of_others(service);
             gate.poll(now_ms);
             let wanted = gate.admission.demand();
--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -41,7 +41,7 @@
     /// Whether `upstream` takes no work for now.
     pub(crate) fn is_out(&self, upstream: &Upstream, now_ms: u64) -> bool {
         let ejector = self.ejectors.get(&upstream.service);
-        ejector.is_some_and(|e| e.is_out(&upstream.id, now_ms))
+        ejector.is_some_and(|e| e.is_ejected(&upstream.id, now_ms))
     }
 
     /// Whether `upstream` is left out for the share of calls that it fails.
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -33,7 +33,7 @@
     /// How much longer the request may not run, if it may not.
     pub(crate) fn convicted_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
         match self.quarantine.status(fingerprint, now_ms) {
-            QuarantineStatus::Convicted { left_ms } => Some(left_ms),
+            QuarantineStatus::Quarantined { left_ms } => Some(left_ms),
             QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
@@ -61,7 +61,9 @@
         let dead: VecDeque<Lost> = dead;
         let mut told = Vec::new();
         for lost in dead {
-            let deaths = self.quarantine.died(lost.fingerprint, false, now_ms);
+            let deaths = self
+                .quarantine
+                .record_death(lost.fingerprint, false, now_ms);
             told.push(Suspicion {
                 fingerprint: lost.fingerprint,
                 deaths,
@@ -74,7 +76,7 @@
 
     /// The request was answered. Returns what the other routers are to be told.
     pub(crate) fn answered(&mut self, fingerprint: u64) -> Option<Suspicion> {
-        let was_held = self.quarantine.succeeded(fingerprint);
+        let was_held = self.quarantine.clear(fingerprint);
         was_held.then_some(Suspicion {
             fingerprint,
             deaths: 0,
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -134,7 +134,7 @@
         match self.suspects.status(fingerprint, forward.deaths) {
             QuarantineStatus::Free => Ok(false),
             QuarantineStatus::Suspect => Ok(true),
-            QuarantineStatus::Convicted { left_ms } => {
+            QuarantineStatus::Quarantined { left_ms } => {
                 let refusal = Quarantine::refusal(left_ms, &mut rand::rng());
                 let detail = "upstreams died each time they ran this request";
                 Err(refuse::message(&refusal, detail))
--- a/src/serve/home/loads.rs
+++ b/src/serve/home/loads.rs
@@ -69,7 +69,10 @@
     /// Takes the exact load of an upstream that this router is home to.
     pub(crate) fn set(&self, upstream: &Name, seen: UpstreamLoad) {
         let now_ms = self.clock.now_ms();
-        self.state.borrow_mut().view.heard(upstream, seen, now_ms);
+        self.state
+            .borrow_mut()
+            .view
+            .set_exact(upstream, seen, now_ms);
     }
 
     /// Counts a job that was just sent to `upstream`.
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -141,13 +141,13 @@
         let fingerprint = fingerprint(forward);
         let now_ms = self.ctx.clock.now_ms();
         let died = |state: &mut State| {
-            let deaths = state.quarantine.died(fingerprint, sole, now_ms);
+            let deaths = state.quarantine.record_death(fingerprint, sole, now_ms);
             (deaths, state.quarantine.status(fingerprint, now_ms))
         };
         let (deaths, status) = died(&mut self.state.borrow_mut());
         self.publish(fingerprint, deaths, false);
         refused.deaths = deaths;
-        if let QuarantineStatus::Convicted { left_ms } = status {
+        if let QuarantineStatus::Quarantined { left_ms } = status {
             self.ctx
                 .events
                 .emit_request(Kind::RequestQuarantined, forward, |e| {
@@ -163,7 +163,7 @@
     /// The request was answered whole.
     pub(crate) fn succeeded(&self, fingerprint: u64) {
         let quarantine = &mut self.state.borrow_mut().quarantine;
-        if quarantine.succeeded(fingerprint) {
+        if quarantine.clear(fingerprint) {
             self.publish(fingerprint, 0, true);
         }
     }
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -209,10 +209,10 @@
         let now_ms = self.ctx.clock.now_ms();
         self.home.reported(load.running + load.waiting, now_ms);
         if report.whole {
-            self.home.cooled();
+            self.home.clear_cached();
         }
         for hint in report.cached {
-            self.home.warmed(hint.chat, hint.tokens);
+            self.home.set_cached(hint.chat, hint.tokens);
         }
         self.poll();
     }
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -262,7 +262,7 @@
         let mean_ms = self.loads.pool_view(&pool.slots, None).mean_work_ms;
         let state = &mut *self.state.borrow_mut();
         let shown = |slots: &Slots| {
-            if is_barred(slots) || state.ejector.is_out(&slots.name, now_ms) {
+            if is_barred(slots) || state.ejector.is_ejected(&slots.name, now_ms) {
                 return f64::INFINITY;
             }
             // Unknown isn't idle.
