--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -115,7 +115,7 @@
     time_per_work: f64,
     samples: u32,
     /// Moving average of a request's duration.
-    usual_ms: f64,
+    typical_ms: f64,
     /// Shortest objective of all requests so far.
     objective_ms: Option<u64>,
 }
@@ -138,14 +138,14 @@
     }
 
     /// Returns a request's typical duration once there are enough samples.
-    pub fn usual_ms(&self) -> Option<f64> {
-        (self.samples >= MIN_SAMPLES).then_some(self.usual_ms)
+    pub fn typical_ms(&self) -> Option<f64> {
+        (self.samples >= MIN_SAMPLES).then_some(self.typical_ms)
     }
 
     /// Returns how many requests per slot of the service are worth sending; see `allowance`.
     pub fn requests_per_slot(&self) -> f64 {
         let objective_ms = self.objective_ms.unwrap_or(0) as f64;
-        allowance::requests_per_slot(self.usual_ms, objective_ms * IN_TIME_SHARE)
+        allowance::requests_per_slot(self.typical_ms, objective_ms * IN_TIME_SHARE)
     }
 
     /// Decides on a new request.
@@ -249,8 +249,8 @@
     /// Returns how long a longer than typical request takes at an upstream, queueing included;
     /// `None` if requests don't queue there or there are too few samples.
     fn upstream_ms(&self) -> Option<f64> {
-        let queues_there = self.usual_ms().is_some_and(allowance::is_short);
-        queues_there.then(|| (self.requests_per_slot() + 1.0) * self.usual_ms)
+        let queues_there = self.typical_ms().is_some_and(allowance::is_short);
+        queues_there.then(|| (self.requests_per_slot() + 1.0) * self.typical_ms)
     }
 
     fn reset_if_empty(&mut self) {
@@ -297,12 +297,12 @@
         let time_per_work = took_ms / started.work_ms.max(1.0);
         let gain = EWMA_GAIN.max(1.0 / f64::from(self.samples + 1));
         self.time_per_work += gain * (time_per_work - self.time_per_work);
-        let gain = if took_ms > self.usual_ms && self.samples > MIN_SAMPLES {
+        let gain = if took_ms > self.typical_ms && self.samples > MIN_SAMPLES {
             gain * SLOW_GAIN_FACTOR
         } else {
             gain
         };
-        self.usual_ms += gain * (took_ms - self.usual_ms);
+        self.typical_ms += gain * (took_ms - self.typical_ms);
         self.samples = self.samples.saturating_add(1);
     }
 }
--- a/src/decide/admission_tests.rs
+++ b/src/decide/admission_tests.rs
@@ -142,7 +142,7 @@
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
     callers.run(0, 10_000, FULL);
     let Kind { in_time, late, .. } = callers.kinds[0];
-    // 10 places of 400 ms: 25 a second.
+    // 10 slots of 400 ms: 25 a second.
     assert!(
         in_time + late >= 245,
         "slots stayed empty: {in_time} + {late}"
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -25,7 +25,7 @@
 const SHORT_MS: f64 = 200.0;
 
 /// Returns how many requests per slot the routers may have at a service whose requests typically
-/// take `usual_ms` and may wait `wait_ms` at an upstream and still be in time.
+/// take `typical_ms` and may wait `wait_ms` at an upstream and still be in time.
 ///
 /// Load pattern: a small pool with short requests. Between two demand reports each slot serves
 /// several requests; if the slots are split among routers whose callers arrive in bursts, slots
@@ -37,16 +37,16 @@
 /// assert_eq!(requests_per_slot(50.0, 75.0), 2.5);
 /// assert_eq!(requests_per_slot(2_000.0, 250.0), 0.9);
 /// ```
-pub fn requests_per_slot(usual_ms: f64, wait_ms: f64) -> f64 {
-    if !is_short(usual_ms) {
+pub fn requests_per_slot(typical_ms: f64, wait_ms: f64) -> f64 {
+    if !is_short(typical_ms) {
         return FILL_FACTOR;
     }
-    (1.0 + wait_ms / usual_ms.max(1.0)).min(MAX_REQUESTS_PER_SLOT)
+    (1.0 + wait_ms / typical_ms.max(1.0)).min(MAX_REQUESTS_PER_SLOT)
 }
 
-/// Whether requests that typically take `usual_ms` queue at the upstreams.
-pub fn is_short(usual_ms: f64) -> bool {
-    usual_ms < SHORT_MS
+/// Whether requests that typically take `typical_ms` queue at the upstreams.
+pub fn is_short(typical_ms: f64) -> bool {
+    typical_ms < SHORT_MS
 }
 
 /// Returns the quota of a router with demand `own` for `slots`, given the demands of the others.
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -87,7 +87,7 @@
     /// use cassiagrade::decide::cold_start::ColdStarts;
     /// let mut cold = ColdStarts::default();
     /// cold.reported(&"up-1".into(), &"s".into(), 3_000, 0);
-    /// assert!(!cold.admits("up-1", 1), "not settled yet");
+    /// assert!(!cold.admits("up-1", 1), "no sender is assigned yet");
     /// cold.assign("host-1", &["host-1".into()], |_| Some(8.0), 1);
     /// assert!(cold.admits("up-1", 1) && cold.admits("up-2", 1));
     /// cold.sent("up-1", 1);
--- a/src/decide/cold_start_tests.rs
+++ b/src/decide/cold_start_tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 const PER_S: f64 = 11.0;
-/// Most requests a second that an upstream survives: somewhat above half more than it announces.
+/// Most requests a second that an upstream survives: above one and a half times its announced rate.
 const MAX_PER_S: usize = 21;
 const COLD_MS: u64 = 3_000;
 const UPSTREAMS: usize = 30;
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -4,11 +4,11 @@
 //! fixed limit is either too low when the service is fast, or lets a slow service accumulate calls
 //! until each of them times out.
 //!
-//! The control law is additive increase, multiplicative decrease on call latency. Compared with
-//! gradient and Vegas, AIMD converges to fair shares when two homes exist for some seconds (Chiu
-//! and Jain, 1989), and it needs no noise-free minimum. The limit never falls below a floor, so that
-//! look-ups still go through at once, and grows only while it is used. A sample costs a few
-//! additions.
+//! The control law is additive increase, multiplicative decrease (AIMD) on call latency. Of
+//! gradient, Vegas and AIMD, it is the one that converges to fair shares when two homes exist for
+//! some seconds (Chiu and Jain, 1989), and it needs no noise-free minimum. The limit never falls
+//! below a floor, so that look-ups still go through at once, and grows only while it is used. A
+//! sample costs a few additions.
 
 /// Lowest limit, so that a service always makes progress.
 pub const MIN_LIMIT: f64 = 4.0;
@@ -19,7 +19,7 @@
 /// Factor on the limit when calls are slow or fail. Halving would empty short queues, but cost a
 /// small service half of its throughput each time.
 const DECREASE: f64 = 0.8;
-/// Multiple of the usual latency that counts as slow.
+/// Multiple of the typical latency that counts as slow.
 const SLOW_FACTOR: f64 = 2.0;
 /// Latencies below this are never slow: they are within scheduling noise.
 const NOISE_MS: f64 = 5.0;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Concurrency {
     limit: f64,
-    usual_ms: Option<f64>,
+    typical_ms: Option<f64>,
     sum_ms: f64,
     failures: u32,
     calls: u32,
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             limit: INITIAL_LIMIT,
-            usual_ms: None,
+            typical_ms: None,
             sum_ms: 0.0,
             failures: 0,
             calls: 0,
@@ -91,20 +91,20 @@
             return;
         }
         let mean_ms = self.sum_ms / f64::from(self.calls);
-        let usual_ms = self.usual_ms.unwrap_or(mean_ms);
-        let slow = mean_ms > SLOW_FACTOR * usual_ms + NOISE_MS;
+        let typical_ms = self.typical_ms.unwrap_or(mean_ms);
+        let slow = mean_ms > SLOW_FACTOR * typical_ms + NOISE_MS;
         let failing = self.failures * 2 > self.calls;
         if slow || failing {
             self.limit = (self.limit * DECREASE).max(MIN_LIMIT);
         } else if self.was_at_limit {
             self.limit = (self.limit + 1.0).min(MAX_LIMIT);
         }
-        let gain = if mean_ms > usual_ms {
+        let gain = if mean_ms > typical_ms {
             SLOW_GAIN
         } else {
             QUICK_GAIN
         };
-        self.usual_ms = Some(usual_ms + gain * (mean_ms - usual_ms));
+        self.typical_ms = Some(typical_ms + gain * (mean_ms - typical_ms));
         (self.sum_ms, self.failures, self.calls, self.was_at_limit) = (0.0, 0, 0, false);
     }
 }
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -167,7 +167,13 @@
     }
 
     /// Ejects `upstream`, which fails a larger share of its requests than its pool.
-    pub fn grey(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
+    pub fn eject_grey(
+        &mut self,
+        upstream: &Name,
+        pool: &[Name],
+        share: f64,
+        now_ms: u64,
+    ) -> Change {
         let stats = self.stats.entry(upstream.clone()).or_default();
         if stats.ejection.is_some() {
             return Change::None;
@@ -177,7 +183,7 @@
 
     /// Returns the consecutive failures of `upstream` and its mean time to a first frame, in
     /// milliseconds.
-    pub fn grounds(&self, upstream: &str) -> (u32, f64) {
+    pub fn evidence(&self, upstream: &str) -> (u32, f64) {
         let stats = self.stats.get(upstream);
         stats.map_or((0, 0.0), |s| (s.failures, s.mean_ms))
     }
@@ -200,8 +206,8 @@
             return false;
         }
         means.sort_by(f64::total_cmp);
-        let usual_ms = means[means.len() / 2];
-        own_ms > (SLOW_FACTOR * usual_ms).max(SLOW_FLOOR_MS)
+        let typical_ms = means[means.len() / 2];
+        own_ms > (SLOW_FACTOR * typical_ms).max(SLOW_FLOOR_MS)
     }
 
     fn eject(&mut self, upstream: &Name, pool: &[Name], share: f64, now_ms: u64) -> Change {
--- a/src/decide/grey_tests.rs
+++ b/src/decide/grey_tests.rs
@@ -45,7 +45,7 @@
             let now = counts.map(|c| c.at(now_ms));
             for at in grey(&now) {
                 for ejector in &mut ejectors {
-                    ejector.grey(&pool[at], &pool, DEFAULT_SHARE, now_ms);
+                    ejector.eject_grey(&pool[at], &pool, DEFAULT_SHARE, now_ms);
                 }
             }
         }
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -83,7 +83,7 @@
 }
 
 impl Counts {
-    /// Classifies counts of this age where requests typically take `usual_ms`, if that is known.
+    /// Classifies counts of this age where requests typically take `typical_ms`, if that is known.
     ///
     /// ```
     /// use cassiagrade::decide::spread::Counts;
@@ -91,10 +91,11 @@
     /// assert_eq!(Counts::of_age(200.0, Some(800.0)), Counts::Current);
     /// assert_eq!(Counts::of_age(200.0, None), Counts::Current);
     /// ```
-    pub fn of_age(age_ms: f64, usual_ms: Option<f64>) -> Self {
+    pub fn of_age(age_ms: f64, typical_ms: Option<f64>) -> Self {
         // With exponentially distributed durations, half have ended after this part of the mean.
-        let is_old = usual_ms.is_some_and(|usual_ms| age_ms > usual_ms * std::f64::consts::LN_2);
-        if is_old { Self::Stale } else { Self::Current }
+        let is_stale =
+            typical_ms.is_some_and(|typical_ms| age_ms > typical_ms * std::f64::consts::LN_2);
+        if is_stale { Self::Stale } else { Self::Current }
     }
 }
 
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -288,8 +288,8 @@
                 spread::by_part(part, &candidates, bound(decisions))?
             }
             _ => {
-                let usual_ms = asked.path.gates.usual_ms(&asked.service);
-                let counts = Counts::of_age(state.counts_age_ms(), usual_ms);
+                let typical_ms = asked.path.gates.typical_ms(&asked.service);
+                let counts = Counts::of_age(state.counts_age_ms(), typical_ms);
                 Selection {
                     at: spread::by_load(&candidates, counts, &mut rand::rng())?,
                     source: None,
--- a/src/path/gate.rs
+++ b/src/path/gate.rs
@@ -131,9 +131,9 @@
     }
 
     /// How long a request to `service` usually takes, once some were seen.
-    pub(crate) fn usual_ms(&self, service: &str) -> Option<f64> {
+    pub(crate) fn typical_ms(&self, service: &str) -> Option<f64> {
         let gates = self.gates.borrow();
-        gates.get(service).and_then(|g| g.admission.usual_ms())
+        gates.get(service).and_then(|g| g.admission.typical_ms())
     }
 
     /// What a refusal at the gate of `service` rests on.
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -335,7 +335,7 @@
             Change::Ejected => Kind::UpstreamEjected,
             Change::Restored => Kind::UpstreamRestored,
         };
-        let (failures, mean_ms) = self.state.borrow().ejector.grounds(upstream);
+        let (failures, mean_ms) = self.state.borrow().ejector.evidence(upstream);
         self.ctx.events.emit(kind, |e| {
             e.upstream = upstream.to_string();
             e.detail =
