--- a/src/fleet/flights.rs
+++ b/src/fleet/flights.rs
@@ -1,9 +1,9 @@
-//! What every router has running at every upstream, and how its calls there ended: a table without
-//! sockets or clock of its own.
+//! Requests that each router runs at each upstream, and how its calls there ended: a table without
+//! sockets or a clock of its own.
 //!
-//! Each router counts its own requests exactly and tells the others several times a second, so the
-//! sum is an upstream's load a fifth of a second ago, and its outcomes those of the whole fleet. Reports of upstreams are older, and asking
-//! for them costs the upstream work.
+//! Each router counts its own requests exactly and publishes the counts several times a second, so
+//! the sum is an upstream's load at most a fifth of a second ago, and the outcomes are those of the
+//! whole fleet. An upstream's own reports are older, and asking for them costs it work.
 
 use std::collections::HashMap;
 
@@ -11,37 +11,41 @@
 use crate::schema::peer::{Flights, Wish};
 use crate::util::Name;
 
-/// What a router told is forgotten after this long: it is gone, or cut off. Several times the pause
-/// between two tellings, so that lost datagrams don't show.
-pub const KEEP_MS: u64 = 1_500;
+/// A router's counts expire after this time: it has stopped or is cut off. Several times the
+/// publishing interval, so that lost datagrams have no effect.
+pub const COUNTS_TTL_MS: u64 = 1_500;
 
-/// Routers that one telling of what runs where goes to.
-pub const MAX_TOLD: usize = 16;
-/// The pause between two tellings of a router: what others see of its counts is at most this and a datagram's way old.
+/// Number of routers that each publication is sent to.
+pub const PUBLISH_FANOUT: usize = 16;
+/// Interval between two publications of a router. The counts that others see are at most this old,
+/// plus the travel time of a datagram.
 pub const TELL_MS: u64 = 200;
 
-/// How many of `live` routers can reach this one, which has heard `heard` of the others within [`KEEP_MS`]. All of a
-/// small fleet are heard all the time; in a large one each telling goes to some, and a part is heard by chance.
+/// Estimates how many of `live` routers can reach this one, given that counts of `heard` others
+/// arrived within [`COUNTS_TTL_MS`].
+///
+/// In a small fleet the counts of all others arrive; in a large one each publication goes to
+/// [`PUBLISH_FANOUT`] random routers, so only a part arrives in time.
 ///
 /// ```
 /// use cassiagrade::fleet::flights::reachable;
 /// assert_eq!(reachable(8, 9), 9);
 /// assert_eq!(reachable(0, 195), 1);
-/// // Of 195, some 92 are heard within the time that a telling is kept; half of that is half of the fleet.
+/// // Of 195, about 92 arrive before they expire; half of that means half of the fleet.
 /// assert_eq!(reachable(120, 195), 195);
 /// assert!((90..=110).contains(&reachable(46, 195)));
 /// ```
 pub fn reachable(heard: usize, live: usize) -> usize {
     let others = live.saturating_sub(1);
-    let share = heard as f64 / expected_heard(others).max(1.0);
+    let share = heard as f64 / expected_received(others).max(1.0);
     1 + (others as f64 * share.min(1.0)).round() as usize
 }
 
-/// How many of `others` are heard within [`KEEP_MS`], if all live.
-fn expected_heard(others: usize) -> f64 {
-    let told = MAX_TOLD.min(others) as f64 / others.max(1) as f64;
-    let tellings = KEEP_MS as f64 / TELL_MS as f64;
-    others as f64 * (1.0 - (1.0 - told).powf(tellings))
+/// Number of `others` whose counts arrive within [`COUNTS_TTL_MS`] if all are alive.
+fn expected_received(others: usize) -> f64 {
+    let reached = PUBLISH_FANOUT.min(others) as f64 / others.max(1) as f64;
+    let publications = COUNTS_TTL_MS as f64 / TELL_MS as f64;
+    others as f64 * (1.0 - (1.0 - reached).powf(publications))
 }
 
 #[derive(Debug)]
@@ -53,31 +57,32 @@
     wishes: Vec<Wish>,
 }
 
-/// What the other routers told of one upstream.
+/// Counts of the other routers for one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
-    /// Requests that run there now, by what those that were heard told.
+    /// Requests that run there now, scaled up from the routers whose counts arrived.
     pub running: f64,
-    /// How calls of the last seconds ended.
+    /// How the calls of the last seconds ended.
     pub outcomes: Outcomes,
 }
 
-/// What the other routers told, put together.
+/// Counts of all other routers, summed up.
 #[derive(Clone, Debug, Default)]
-pub struct Picture {
-    /// By the digest of the upstream.
+pub struct FleetCounts {
+    /// By the digest of the upstream's name.
     pub upstreams: HashMap<u32, Told>,
-    /// How many requests each router that wants any wants to run, by the digest of the service.
+    /// Number of requests each router runs or has waiting, by the digest of the service's name.
+    /// Routers without any are left out.
     pub wishes: HashMap<u32, Vec<u32>>,
-    /// Routers that were heard lately.
+    /// Number of routers whose counts have not expired.
     pub heard: usize,
-    /// The share of all that can be reached that these are.
+    /// Share of the reachable routers that these are.
     pub share: f64,
-    /// How old their counts are on the mean while this picture holds.
+    /// Mean age of their counts while this value is in use.
     pub age_ms: f64,
 }
 
-/// The other routers' counts.
+/// Latest counts of each other router.
 #[derive(Debug, Default)]
 pub struct FlightTable {
     rows: HashMap<Name, Row>,
@@ -85,38 +90,40 @@
 }
 
 impl FlightTable {
-    /// Takes what a router told, unless something newer of it is known.
-    pub fn heard(&mut self, told: Flights, now_ms: u64) {
-        let stamp = (told.from_incarnation, told.seq);
-        let known = self.rows.get(&*told.from_host);
+    /// Stores the counts of a router unless newer ones of it have arrived.
+    pub fn heard(&mut self, received: Flights, now_ms: u64) {
+        let stamp = (received.from_incarnation, received.seq);
+        let known = self.rows.get(&*received.from_host);
         if known.is_some_and(|row| (row.incarnation, row.seq) >= stamp) {
             return;
         }
-        for flight in told.flights.iter().filter(|f| f.ended > 0) {
+        for flight in received.flights.iter().filter(|f| f.ended > 0) {
             let outcomes = self.outcomes.entry(flight.upstream_digest).or_default();
             outcomes.add(flight.ended, flight.failed, now_ms);
         }
-        let flights = told.flights.into_iter().filter(|f| f.running > 0);
+        let flights = received.flights.into_iter().filter(|f| f.running > 0);
         let row = Row {
-            incarnation: told.from_incarnation,
-            seq: told.seq,
+            incarnation: received.from_incarnation,
+            seq: received.seq,
             at_ms: now_ms,
             running: flights.map(|f| (f.upstream_digest, f.running)).collect(),
-            wishes: told.wishes,
+            wishes: received.wishes,
         };
-        self.rows.insert(told.from_host.into(), row);
+        self.rows.insert(received.from_host.into(), row);
     }
 
-    /// What all `live` routers run and want, this one left out, by those of them that were heard lately.
+    /// Returns the sums for all `live` routers but this one, estimated from those whose counts have
+    /// not expired.
     ///
-    /// Failure guarded against: in a large fleet half of the routers are heard at a time. Summed as if they were all, upstreams
-    /// look half as loaded as they are, and each router takes twice its part of a full service's places.
-    pub fn picture(&mut self, live: usize, now_ms: u64) -> Picture {
+    /// Failure guarded against: in a large fleet the counts of only about half of the routers are
+    /// present at a time. Without scaling, upstreams look half as loaded as they are, and each
+    /// router takes twice its share of a full service's slots.
+    pub fn fleet_counts(&mut self, live: usize, now_ms: u64) -> FleetCounts {
         let mut upstreams = self.sums(now_ms);
         let heard = self.rows.len();
         let scale = (reachable(heard, live) - 1).max(heard) as f64 / heard.max(1) as f64;
-        for told in upstreams.values_mut() {
-            told.running *= scale;
+        for counts in upstreams.values_mut() {
+            counts.running *= scale;
         }
         let mut wishes: HashMap<u32, Vec<u32>> = HashMap::new();
         for wish in self.rows.values().flat_map(|row| &row.wishes) {
@@ -124,11 +131,12 @@
             of_service.push(wish.wanted);
         }
         for of_service in wishes.values_mut() {
-            // Those that weren't heard want what those that were do.
+            // The routers whose counts are missing are assumed to have the same demand as the
+            // others.
             let all = (of_service.len() as f64 * scale).round() as usize;
             *of_service = of_service.iter().copied().cycle().take(all).collect();
         }
-        Picture {
+        FleetCounts {
             upstreams,
             wishes,
             heard,
@@ -145,17 +153,17 @@
         ages.sum::<u64>() as f64 / self.rows.len().max(1) as f64
     }
 
-    /// The sums over all routers that were heard lately, by the digest of the upstream.
+    /// Sums over all routers whose counts have not expired, by the digest of the upstream's name.
     fn sums(&mut self, now_ms: u64) -> HashMap<u32, Told> {
         self.rows
-            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < KEEP_MS);
+            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < COUNTS_TTL_MS);
         self.outcomes.retain(|_, o| o.at(now_ms).is_told());
         let outcomes = self.outcomes.iter();
-        let told = |outcomes: Outcomes| Told {
+        let with_outcomes = |outcomes: Outcomes| Told {
             outcomes: outcomes.at(now_ms),
             ..Told::default()
         };
-        let mut sums: HashMap<u32, Told> = outcomes.map(|(d, o)| (*d, told(*o))).collect();
+        let mut sums: HashMap<u32, Told> = outcomes.map(|(d, o)| (*d, with_outcomes(*o))).collect();
         for (digest, running) in self.rows.values().flat_map(|row| &row.running) {
             sums.entry(*digest).or_default().running += f64::from(*running);
         }
--- a/src/fleet/flights_tests.rs
+++ b/src/fleet/flights_tests.rs
@@ -3,10 +3,10 @@
 use rand::seq::index::sample;
 use test_case::test_case;
 
-use super::flights::{FlightTable, KEEP_MS, MAX_TOLD, TELL_MS};
+use super::flights::{COUNTS_TTL_MS, FlightTable, PUBLISH_FANOUT, TELL_MS};
 use crate::schema::peer::{Flight, Flights, Wish};
 
-fn told(host: &str, seq: u64, running: u32) -> Flights {
+fn counts(host: &str, seq: u64, running: u32) -> Flights {
     Flights {
         from_host: host.to_owned(),
         from_incarnation: 1,
@@ -21,105 +21,105 @@
     }
 }
 
-/// Two routers send to one upstream; each alone would see half of its load and send on.
+/// Two routers send to one upstream. With its own count alone, each would see half of the load and
+/// send on.
 #[test]
 fn counts_of_all_routers_add_up() {
     let mut table = FlightTable::default();
-    table.heard(told("a", 1, 2), 0);
-    table.heard(told("b", 1, 3), 0);
-    assert_eq!(table.picture(3, 1).upstreams[&9].running, 5.0);
+    table.heard(counts("a", 1, 2), 0);
+    table.heard(counts("b", 1, 3), 0);
+    assert_eq!(table.fleet_counts(3, 1).upstreams[&9].running, 5.0);
 }
 
-/// A datagram overtakes an older one; taking the older count for the newer would show load that is
-/// gone.
+/// A datagram arrives before an older one. Storing the older count would show load that has ended.
 #[test]
 fn late_datagram_changes_nothing() {
     let mut table = FlightTable::default();
-    table.heard(told("a", 2, 1), 0);
-    table.heard(told("a", 1, 50), 1);
-    assert_eq!(table.picture(2, 2).upstreams[&9].running, 1.0);
+    table.heard(counts("a", 2, 1), 0);
+    table.heard(counts("a", 1, 50), 1);
+    assert_eq!(table.fleet_counts(2, 2).upstreams[&9].running, 1.0);
 }
 
-/// A router dies with requests in flight; its upstreams have dropped them, so they must not stay
+/// A router dies with requests in flight. Its upstreams have dropped them, so they must not stay
 /// counted.
 #[test]
-fn dead_router_is_forgotten() {
+fn counts_of_dead_router_expire() {
     let mut table = FlightTable::default();
-    table.heard(told("a", 1, 4), 0);
-    assert!(table.picture(2, KEEP_MS).upstreams.is_empty());
+    table.heard(counts("a", 1, 4), 0);
+    assert!(table.fleet_counts(2, COUNTS_TTL_MS).upstreams.is_empty());
 }
 
-/// Each of two routers sees one upstream fail once or twice; together they tell that it fails a share.
-/// A datagram that comes twice must not count twice.
+/// Each of two routers sees an upstream fail once or twice; only the sum shows the share that
+/// fails. A duplicate datagram must not count twice.
 #[test]
 fn outcomes_of_all_routers_add_up() {
     let mut table = FlightTable::default();
-    let told = |host: &str, failed| Flights {
+    let counts = |host: &str, failed| Flights {
         flights: vec![Flight {
             upstream_digest: 9,
             running: 0,
             ended: 4,
             failed,
         }],
-        ..told(host, 1, 0)
+        ..counts(host, 1, 0)
     };
-    table.heard(told("a", 1), 0);
-    table.heard(told("b", 2), 0);
-    table.heard(told("b", 2), 0);
-    let sums = table.picture(3, 0).upstreams;
+    table.heard(counts("a", 1), 0);
+    table.heard(counts("b", 2), 0);
+    table.heard(counts("b", 2), 0);
+    let sums = table.fleet_counts(3, 0).upstreams;
     assert_eq!(sums[&9].outcomes.share(), 3.0 / 8.0);
     assert_eq!(sums[&9].running, 0.0);
 }
 
-/// Two routers have more than they may run. A third one computes its part from what they want; one that
-/// dies wants nothing any more.
+/// Two routers have more requests than they may run, and a third computes its share from their
+/// demand. A dead router has no demand.
 #[test]
-fn wishes_of_living_routers_are_known() {
+fn demand_of_live_routers_is_known() {
     let mut table = FlightTable::default();
     let wish = |wanted| Wish {
         service_digest: 3,
         wanted,
     };
-    let told = |host: &str, wanted| Flights {
+    let counts = |host: &str, wanted| Flights {
         wishes: vec![wish(wanted)],
-        ..told(host, 1, 0)
+        ..counts(host, 1, 0)
     };
-    table.heard(told("a", 40), 0);
-    table.heard(told("b", 7), 1_000);
-    let mut wishes = table.picture(3, 1_000).wishes[&3].clone();
+    table.heard(counts("a", 40), 0);
+    table.heard(counts("b", 7), 1_000);
+    let mut wishes = table.fleet_counts(3, 1_000).wishes[&3].clone();
     wishes.sort_unstable();
     assert_eq!(wishes, [7, 40]);
-    assert_eq!(table.picture(2, KEEP_MS).wishes[&3], [7]);
+    assert_eq!(table.fleet_counts(2, COUNTS_TTL_MS).wishes[&3], [7]);
 }
 
-/// Every router of a large fleet runs two requests at one upstream and wants seven of its service, and tells some of the
-/// others. Whoever sums up what it heard as if that were all takes the upstream for half idle, and twice its part of
-/// the service.
+/// Every router of a large fleet runs two requests at one upstream and wants seven of its service,
+/// and sends its counts to a part of the fleet. If the received counts were summed without scaling,
+/// the upstream would look half idle, and each router would take twice its share of the service.
 #[test_case(3; "three")]
 #[test_case(30; "a small fleet")]
 #[test_case(195; "a large fleet")]
-#[test_case(390; "the fleet to come")]
-fn sums_are_those_of_the_whole_fleet(routers: usize) {
+#[test_case(390; "a very large fleet")]
+fn sums_are_scaled_to_the_whole_fleet(routers: usize) {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut table = FlightTable::default();
     let (mut sums, mut wanted) = (Vec::new(), Vec::new());
     for seq in 1..=50 {
         let now_ms = seq * TELL_MS;
         for from in 1..routers {
-            let to = sample(&mut rng, routers - 1, MAX_TOLD.min(routers - 1));
+            let to = sample(&mut rng, routers - 1, PUBLISH_FANOUT.min(routers - 1));
             if to.iter().any(|to| to == 0) {
                 let wishes = vec![Wish {
                     service_digest: 3,
                     wanted: 7,
                 }];
-                let told = told(&format!("router-{from}"), seq, 2);
-                table.heard(Flights { wishes, ..told }, now_ms);
+                let counts = counts(&format!("router-{from}"), seq, 2);
+                table.heard(Flights { wishes, ..counts }, now_ms);
             }
         }
-        if now_ms >= KEEP_MS {
-            let picture = table.picture(routers, now_ms);
-            sums.push(picture.upstreams[&9].running);
-            wanted.push(f64::from(picture.wishes[&3].iter().sum::<u32>()));
+        if now_ms >= COUNTS_TTL_MS {
+            let fleet_counts = table.fleet_counts(routers, now_ms);
+            sums.push(fleet_counts.upstreams[&9].running);
+            wanted.push(f64::from(fleet_counts.wishes[&3].iter().sum::<u32>()));
         }
     }
     let others = (routers - 1) as f64;
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,8 +1,9 @@
-//! What routers tell one another in passing: loads of upstreams, suspicions of requests, and how
-//! far their configuration is.
+//! State that routers exchange by gossip: loads of upstreams, suspicions of requests, and
+//! configuration versions.
 //!
-//! Other tasks publish here and read the latest picture; the task that owns the probes carries
-//! both. A router that hears nobody still knows its own upstreams.
+//! Other tasks publish through [`Gossip`] and read the latest state from it; the membership task
+//! sends and receives the datagrams. Without any gossip a router still knows the loads of its own
+//! upstreams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::decide::PoolView;
-use crate::fleet::flights::Picture;
+use crate::fleet::flights::FleetCounts;
 use crate::fleet::member::Member;
 use crate::fleet::swim::Listed;
 use crate::schema::peer::{Flight, Load, NewsMark, Suspicion, Wish, datagram};
@@ -20,14 +21,16 @@
 /// The latest known load of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    /// By upstream name; in large fleets a random part of all.
+    /// By upstream name; in large fleets a random sample.
     pub by_upstream: HashMap<Name, Load>,
 }
 
 impl Loads {
-    /// Work and size of the pool that `names` make up: the mean over those whose load is known.
+    /// Returns the work and size of the pool of upstreams `names`: the mean over those whose load
+    /// is known.
     ///
-    /// A home tells of its idle upstreams too, so those nobody told of are unknown, not idle.
+    /// A home publishes its idle upstreams too, so an upstream without an entry is unknown, not
+    /// idle.
     pub fn pool_view(&self, names: &[Name]) -> PoolView {
         let mut known = 0_u32;
         let mut sum_ms = 0.0;
@@ -44,36 +47,37 @@
     }
 }
 
-/// Something to tell the others.
+/// An update that a task publishes to the other routers.
 #[derive(Clone, Debug)]
 pub enum Publish {
     /// Loads of the upstreams this router is home to.
     Loads(Vec<Load>),
-    /// What this router holds of a request.
+    /// This router's suspicion of a request.
     Suspicion(Suspicion),
-    /// What this router has running at all upstreams, and wants to run of each service.
+    /// Requests that this router runs at each upstream, its demand for each service, and the
+    /// versions of its state.
     Flights(Vec<Flight>, Vec<Wish>, NewsMark),
-    /// What an upstream says of itself to this router, its home.
+    /// An upstream reported to this router, its home, whether it is leaving.
     UpstreamLeaving {
-        /// Its name.
+        /// Name of the upstream.
         upstream: Name,
-        /// It asks for no new work.
+        /// Whether it takes no new work.
         leaving: bool,
     },
 }
 
-/// The newest configuration any router was heard to have.
+/// The newest configuration that another router has announced.
 #[derive(Clone, Debug)]
-pub struct ConfigHeard {
-    /// Last record of the configuration stream it stands at.
+pub struct AnnouncedConfig {
+    /// Offset of the last configuration record applied.
     pub offset: u64,
-    /// Digest of the state there.
+    /// Digest of the state at that offset.
     pub digest: u64,
-    /// Where that router is asked for it.
+    /// Peer address of the router that has it.
     pub peer_addr: Name,
 }
 
-impl Default for ConfigHeard {
+impl Default for AnnouncedConfig {
     fn default() -> Self {
         Self {
             offset: 0,
@@ -83,60 +87,60 @@
     }
 }
 
-/// What another router said it knows.
+/// Versions that another router announced.
 #[derive(Clone, Debug, Default)]
 pub struct MarkHeard {
-    /// Who said so; empty before anyone did.
+    /// Name of that router; empty before the first announcement.
     pub host: String,
-    /// How much it knows.
+    /// Versions of its state.
     pub mark: NewsMark,
 }
 
-/// Where the task that owns the probes puts what it hears.
+/// Channels on which the membership task publishes what it receives.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct GossipSenders {
     pub(crate) loads: watch::Sender<Arc<Loads>>,
     pub(crate) suspicions: watch::Sender<Arc<Vec<Suspicion>>>,
-    pub(crate) config: watch::Sender<Arc<ConfigHeard>>,
-    pub(crate) flights: watch::Sender<Arc<Picture>>,
+    pub(crate) config: watch::Sender<Arc<AnnouncedConfig>>,
+    pub(crate) flights: watch::Sender<Arc<FleetCounts>>,
     pub(crate) marks: watch::Sender<Arc<MarkHeard>>,
 }
 
-/// What the task that owns the probes is told.
+/// Inputs of the membership task.
 #[derive(Debug)]
 pub(crate) enum Note {
-    /// Another task has something for the others.
+    /// Another task publishes an update.
     Publish(Publish),
-    /// A datagram of the fleet came.
+    /// An authenticated datagram arrived.
     Datagram(SocketAddr, Box<datagram::Body>),
-    /// The platform's list was read: routers, and upstreams that are going away.
+    /// The platform's host list was read: routers, and upstreams that are leaving.
     Listed(Vec<Listed>, Vec<Name>),
-    /// A peer told all it knows.
+    /// A peer answered with all members it knows.
     Told(Vec<Member>),
-    /// A peer asks for all that is known.
+    /// A peer asks for all known members.
     Members(oneshot::Sender<Vec<Member>>),
-    /// This router stops by plan.
+    /// This router begins a planned stop.
     Leave,
-    /// This router has finished; answered when the others were told.
+    /// This router has stopped taking work; answered once the other routers have been notified.
     Goodbye(oneshot::Sender<()>),
 }
 
-/// A handle to what is told and heard.
+/// A handle to the state exchanged by gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     tx: mpsc::UnboundedSender<Note>,
     loads: watch::Receiver<Arc<Loads>>,
     suspicions: watch::Receiver<Arc<Vec<Suspicion>>>,
-    config: watch::Receiver<Arc<ConfigHeard>>,
-    flights: watch::Receiver<Arc<Picture>>,
+    config: watch::Receiver<Arc<AnnouncedConfig>>,
+    flights: watch::Receiver<Arc<FleetCounts>>,
     marks: watch::Receiver<Arc<MarkHeard>>,
 }
 
 impl Gossip {
-    /// A handle, and the ends that the task which owns the probes holds.
-    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<Note>, Heard) {
+    /// Creates a handle, and the channel ends that the membership task uses.
+    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<Note>, GossipSenders) {
         let (tx, rx) = mpsc::unbounded_channel();
-        let heard = Heard {
+        let heard = GossipSenders {
             loads: watch::channel(Arc::default()).0,
             suspicions: watch::channel(Arc::default()).0,
             config: watch::channel(Arc::default()).0,
@@ -154,7 +158,7 @@
         (gossip, rx, heard)
     }
 
-    /// Tells the others, at the next occasion.
+    /// Queues an update for the next datagrams.
     pub fn publish(&self, publish: Publish) {
         self.note(Note::Publish(publish));
     }
@@ -164,28 +168,28 @@
         let _ = self.tx.send(note);
     }
 
-    /// The latest loads.
+    /// Returns the latest loads.
     pub fn loads(&self) -> Arc<Loads> {
         self.loads.borrow().clone()
     }
 
-    /// Suspicions heard and held.
+    /// Suspicions of this router and of the others.
     pub fn suspicions(&self) -> watch::Receiver<Arc<Vec<Suspicion>>> {
         self.suspicions.clone()
     }
 
-    /// What the other routers run and want.
-    pub fn flights(&self) -> Arc<Picture> {
+    /// Returns the other routers' counts of running requests and their demand.
+    pub fn flights(&self) -> Arc<FleetCounts> {
         self.flights.borrow().clone()
     }
 
-    /// What another router last said it knows; each change may be another's.
+    /// The versions that arrived last; successive values may be from different routers.
     pub fn marks(&self) -> watch::Receiver<Arc<MarkHeard>> {
         self.marks.clone()
     }
 
-    /// The newest configuration heard of, and who has it.
-    pub fn config_heard(&self) -> watch::Receiver<Arc<ConfigHeard>> {
+    /// The newest configuration announced by any router.
+    pub fn config_heard(&self) -> watch::Receiver<Arc<AnnouncedConfig>> {
         self.config.clone()
     }
 }
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -1,14 +1,15 @@
 //! The home of an upstream: the one router that admits work to it.
 //!
-//! It is the top of a rendezvous order of the routers that take work, those of the upstream's own
-//! data centre first, so that the last leg of a request stays inside it.
+//! It is the first router in a rendezvous order of the routers that take work. Routers of the
+//! upstream's own data centre come first, so that the last hop of a request stays inside it.
 
 use std::cmp::Reverse;
 
 use crate::fleet::member::{Member, View};
 use crate::util;
 
-/// The routers in the order in which they are `upstream`'s home; those near it come first.
+/// Returns the routers in the order in which they become the home of `upstream`; those of
+/// `data_center` come first.
 pub fn order<'a>(view: &'a View, upstream: &str, data_center: &str) -> Vec<&'a Member> {
     let seed = util::hash_parts(&[upstream]);
     let mut scored: Vec<(bool, u64, &Member)> = view
@@ -24,7 +25,8 @@
     scored.into_iter().map(|(_, _, m)| m).collect()
 }
 
-/// The home of `upstream`, if any router takes work: the first of [`order`], without sorting.
+/// Returns the home of `upstream`, if any router takes work: the first of [`order`], without
+/// sorting.
 pub fn home<'a>(view: &'a View, upstream: &str, data_center: &str) -> Option<&'a Member> {
     let seed = util::hash_parts(&[upstream]);
     let takers = view.members.iter().filter(|m| m.takes_work());
--- a/src/fleet/homes_tests.rs
+++ b/src/fleet/homes_tests.rs
@@ -12,7 +12,8 @@
     }
 }
 
-/// A leaving router is nobody's home, and a near one goes before a far one.
+/// A leaving router is no upstream's home, and a router in the upstream's data centre precedes
+/// others.
 #[test]
 fn home_is_near_and_takes_work() {
     let members = vec![
--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -1,7 +1,8 @@
-//! Which upstreams are going away, whoever said so first: a table without sockets or clock.
+//! Which upstreams are leaving, from any source: a table without sockets or a clock of its own.
 //!
-//! The platform's list lags and each router reads it at its own pace, and an engine tells only its
-//! home. Whoever knows keeps saying so; when all have stopped, the upstream takes work again.
+//! The platform's host list lags, each router reads it at its own times, and an engine notifies
+//! only its home. So each router that knows of a leaving upstream repeats it in gossip; once all
+//! have stopped, the upstream takes work again.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,15 +10,15 @@
 use rand::seq::SliceRandom;
 
 use crate::fleet::loads::digest;
-use crate::schema::peer::LeavingBeat;
+use crate::schema::peer::LeavingEntry;
 use crate::util::Name;
 
-/// What nobody repeated for this long no longer holds.
-pub const LEAVING_KEEP_MS: u64 = 10_000;
-/// See the same in the loads: nothing looks younger by being passed on.
+/// An entry that no router has repeated for this long expires.
+pub const LEAVING_TTL_MS: u64 = 10_000;
+/// Added to an age at each hop, as for loads, so that no entry looks younger for being passed on.
 const HOP_MS: u64 = 5;
 
-/// Upstreams that are leaving, by who says so.
+/// Upstreams that are leaving, by source.
 #[derive(Debug, Default)]
 pub struct LeavingTable {
     listed: HashSet<u32>,
@@ -26,12 +27,12 @@
 }
 
 impl LeavingTable {
-    /// Takes over what the platform's list says now.
+    /// Replaces the upstreams that the platform's host list marks as leaving.
     pub fn listed(&mut self, names: &[Name]) {
         self.listed = names.iter().map(|name| digest(name)).collect();
     }
 
-    /// Takes over what an upstream says of itself to this router, its home.
+    /// Records whether an upstream reported to this router, its home, that it is leaving.
     pub fn signalled(&mut self, name: &str, leaving: bool) {
         if leaving {
             self.signalled.insert(digest(name));
@@ -40,48 +41,48 @@
         }
     }
 
-    /// Forgets the signals of upstreams that have another home now.
-    pub fn keep_signals(&mut self, own: impl Fn(u32) -> bool) {
+    /// Drops the reports of upstreams whose home is another router now.
+    pub fn retain_signals(&mut self, own: impl Fn(u32) -> bool) {
         self.signalled.retain(|digest| own(*digest));
     }
 
-    /// Takes over what others say.
-    pub fn merge(&mut self, beats: &[LeavingBeat], now_ms: u64) {
-        for beat in beats {
-            let at_ms = now_ms.saturating_sub(u64::from(beat.age_ms) + HOP_MS);
-            let known = self.heard.entry(beat.upstream_digest).or_insert(at_ms);
+    /// Merges entries that another router sent.
+    pub fn merge(&mut self, entries: &[LeavingEntry], now_ms: u64) {
+        for entry in entries {
+            let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms) + HOP_MS);
+            let known = self.heard.entry(entry.upstream_digest).or_insert(at_ms);
             *known = at_ms.max(*known);
         }
         self.heard
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_KEEP_MS);
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_TTL_MS);
     }
 
-    /// At most `max` to tell, in random order.
-    pub fn beats<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingBeat> {
+    /// Returns at most `max` entries to send, in random order.
+    pub fn sample<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingEntry> {
         let own = self.own().map(|digest| (digest, 0));
         let mut ages: HashMap<u32, u64> = self
             .heard
             .iter()
             .map(|(digest, at_ms)| (*digest, now_ms.saturating_sub(*at_ms)))
-            .filter(|(_, age_ms)| *age_ms < LEAVING_KEEP_MS)
+            .filter(|(_, age_ms)| *age_ms < LEAVING_TTL_MS)
             .collect();
         ages.extend(own);
-        let mut beats: Vec<LeavingBeat> = ages
+        let mut entries: Vec<LeavingEntry> = ages
             .into_iter()
-            .map(|(upstream_digest, age_ms)| LeavingBeat {
+            .map(|(upstream_digest, age_ms)| LeavingEntry {
                 upstream_digest,
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             })
             .collect();
-        beats.sort_unstable_by_key(|beat| beat.upstream_digest);
-        beats.shuffle(rng);
-        beats.truncate(max);
-        beats
+        entries.sort_unstable_by_key(|entry| entry.upstream_digest);
+        entries.shuffle(rng);
+        entries.truncate(max);
+        entries
     }
 
-    /// Digests of all that take no new work now.
+    /// Returns the digests of all upstreams that take no new work now.
     pub fn known(&self, now_ms: u64) -> HashSet<u32> {
-        let fresh = |at_ms: u64| now_ms.saturating_sub(at_ms) < LEAVING_KEEP_MS;
+        let fresh = |at_ms: u64| now_ms.saturating_sub(at_ms) < LEAVING_TTL_MS;
         let heard = self.heard.iter().filter(|(_, at_ms)| fresh(**at_ms));
         heard.map(|(digest, _)| *digest).chain(self.own()).collect()
     }
--- a/src/fleet/loads.rs
+++ b/src/fleet/loads.rs
@@ -1,56 +1,57 @@
-//! Loads of upstreams as they travel round the fleet: a table without sockets or clock of its own.
+//! Loads of upstreams, spread by gossip: a table without sockets or a clock of its own.
 //!
-//! Each router tells the loads of the upstreams it is home to in every datagram, and fills the rest
-//! with some of what it heard. Small fleets so hear of every upstream within a second; in large
-//! ones each router holds a random sample, large enough for the pool's mean, and the bytes a
-//! router sends don't grow with the fleet.
+//! Each router sends the loads of the upstreams it is home to in every datagram, and fills the rest
+//! of the datagram with a sample of those it received. In a small fleet every router so knows every
+//! upstream's load within a second. In a large one each router has a random sample, large enough
+//! for the pool's mean, and the bytes that a router sends don't grow with the fleet.
 
 use std::collections::HashMap;
 
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::schema::peer::{Load, LoadBeat};
+use crate::schema::peer::{Load, LoadEntry};
 use crate::util::{self, Name};
 
-/// A load nobody repeated for this long is forgotten: its home is gone or no longer its home.
-pub const LOAD_KEEP_MS: u64 = 5_000;
+/// A load that has not been repeated for this long expires: its router has stopped or is no longer
+/// the upstream's home.
+pub const LOAD_TTL_MS: u64 = 5_000;
 
-/// Added to an age at each hop, more than most datagrams travel, so that no load looks younger
-/// than it is by being passed on.
+/// Added to an age at each hop, more than most datagrams take, so that no load looks younger than
+/// it is for being passed on.
 const HOP_MS: u64 = 5;
 
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    beat: LoadBeat,
+    entry: LoadEntry,
     at_ms: u64,
 }
 
-/// Loads heard of, and those of this router's own upstreams.
+/// Loads received from other routers, and those of the upstreams this router is home to.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    own: HashMap<u32, LoadBeat>,
+    own: HashMap<u32, LoadEntry>,
     heard: HashMap<u32, Row>,
 }
 
-/// The short form of an upstream's name on the wire.
+/// Returns the digest that stands for an upstream's name on the wire.
 pub(crate) fn digest(name: &str) -> u32 {
     let hash = util::hash_parts(&[name]);
     u32::try_from(hash >> 32).unwrap_or_default()
 }
 
 impl LoadTable {
-    /// Sets which upstreams this router is home to; those without a known load count as idle.
+    /// Sets the upstreams this router is home to; those without a known load count as idle.
     pub fn set_own<'a>(&mut self, names: impl Iterator<Item = &'a Name>) {
         let before = std::mem::take(&mut self.own);
         for name in names {
             let upstream_digest = digest(name);
-            let idle = LoadBeat {
+            let idle = LoadEntry {
                 upstream_digest,
-                ..LoadBeat::default()
+                ..LoadEntry::default()
             };
-            let beat = before.get(&upstream_digest).copied().unwrap_or(idle);
-            self.own.insert(upstream_digest, beat);
+            let entry = before.get(&upstream_digest).copied().unwrap_or(idle);
+            self.own.insert(upstream_digest, entry);
         }
     }
 
@@ -59,12 +60,12 @@
         self.own.contains_key(&upstream_digest)
     }
 
-    /// Takes a load of this router's own. One of an upstream that has another home now isn't
-    /// counted here: its home tells it.
+    /// Records the load of an upstream this router is home to. The load of an upstream that has
+    /// another home now is ignored: that home publishes it.
     pub fn publish(&mut self, load: &Load) {
         let upstream_digest = digest(&load.upstream);
-        if let Some(beat) = self.own.get_mut(&upstream_digest) {
-            *beat = LoadBeat {
+        if let Some(entry) = self.own.get_mut(&upstream_digest) {
+            *entry = LoadEntry {
                 upstream_digest,
                 work_ms: whole_ms(load.work_ms),
                 in_flight: load.in_flight,
@@ -74,69 +75,72 @@
         }
     }
 
-    /// Takes over loads that are newer than those known.
-    pub fn merge(&mut self, beats: &[LoadBeat], now_ms: u64) {
-        for beat in beats {
-            let age_ms = u64::from(beat.age_ms) + HOP_MS;
-            if age_ms > LOAD_KEEP_MS {
+    /// Merges loads that are newer than the known ones.
+    pub fn merge(&mut self, entries: &[LoadEntry], now_ms: u64) {
+        for entry in entries {
+            let age_ms = u64::from(entry.age_ms) + HOP_MS;
+            if age_ms > LOAD_TTL_MS {
                 continue;
             }
             let at_ms = now_ms.saturating_sub(age_ms);
-            let row = Row { beat: *beat, at_ms };
-            let known = self.heard.entry(beat.upstream_digest).or_insert(row);
+            let row = Row {
+                entry: *entry,
+                at_ms,
+            };
+            let known = self.heard.entry(entry.upstream_digest).or_insert(row);
             if at_ms > known.at_ms {
                 *known = row;
             }
         }
     }
 
-    /// Loads to send now: all of this router's own, then others in random order, `max` at most.
-    pub fn beats<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadBeat> {
+    /// Returns at most `max` loads to send: all of this router's own, then others in random order.
+    pub fn sample<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadEntry> {
         self.heard
-            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < LOAD_KEEP_MS);
-        let mut beats: Vec<LoadBeat> = self.own.values().copied().collect();
-        beats.shuffle(rng);
+            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS);
+        let mut entries: Vec<LoadEntry> = self.own.values().copied().collect();
+        entries.shuffle(rng);
         let mut others: Vec<&Row> = self.heard.values().collect();
         let (others, _) = others.partial_shuffle(rng, max);
         for row in others {
-            if beats.len() >= max {
+            if entries.len() >= max {
                 break;
             }
-            if self.own.contains_key(&row.beat.upstream_digest) {
+            if self.own.contains_key(&row.entry.upstream_digest) {
                 continue;
             }
             let age_ms = now_ms.saturating_sub(row.at_ms);
-            beats.push(LoadBeat {
+            entries.push(LoadEntry {
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
-                ..row.beat
+                ..row.entry
             });
         }
-        beats.truncate(max);
-        beats
+        entries.truncate(max);
+        entries
     }
 
-    /// The loads known now, own ones first hand, by the upstreams' names.
+    /// Returns the known loads by the upstreams' names; this router's own take precedence.
     pub fn known(&self, names: &HashMap<u32, Name>, now_ms: u64) -> HashMap<Name, Load> {
-        let fresh = |row: &&Row| now_ms.saturating_sub(row.at_ms) < LOAD_KEEP_MS;
+        let fresh = |row: &&Row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS;
         let heard = self.heard.values().filter(fresh);
-        let heard = heard.map(|row| (row.beat, row.at_ms));
-        let own = self.own.values().map(|beat| (*beat, now_ms));
+        let heard = heard.map(|row| (row.entry, row.at_ms));
+        let own = self.own.values().map(|entry| (*entry, now_ms));
         heard
             .chain(own)
-            .filter_map(|(beat, at_ms)| {
-                let name = names.get(&beat.upstream_digest)?;
-                Some((name.clone(), load(name, &beat, at_ms)))
+            .filter_map(|(entry, at_ms)| {
+                let name = names.get(&entry.upstream_digest)?;
+                Some((name.clone(), load(name, &entry, at_ms)))
             })
             .collect()
     }
 }
 
-fn load(name: &Name, beat: &LoadBeat, at_ms: u64) -> Load {
+fn load(name: &Name, entry: &LoadEntry, at_ms: u64) -> Load {
     Load {
         upstream: name.to_string(),
-        work_ms: f64::from(beat.work_ms),
-        in_flight: beat.in_flight,
-        queued: beat.queued,
+        work_ms: f64::from(entry.work_ms),
+        in_flight: entry.in_flight,
+        queued: entry.queued,
         seq: at_ms,
     }
 }
--- a/src/fleet/loads_tests.rs
+++ b/src/fleet/loads_tests.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, SeedableRng};
 
 use crate::fleet::gossip::Loads;
-use crate::fleet::loads::{LOAD_KEEP_MS, LoadTable, digest};
-use crate::schema::peer::{Load, LoadBeat};
+use crate::fleet::loads::{LOAD_TTL_MS, LoadTable, digest};
+use crate::schema::peer::{Load, LoadEntry};
 use crate::util::Name;
 
 fn names(n: usize) -> Vec<Name> {
@@ -25,7 +25,8 @@
     }
 }
 
-/// `n` tables that send `max` beats to two random others every half second and get as many back.
+/// Lets each table send `max` loads to two random others and get as many back, as routers do every
+/// half second.
 fn gossip(tables: &mut [LoadTable], max: usize, now_ms: u64, rng: &mut SmallRng) {
     let n = tables.len();
     for i in 0..n {
@@ -33,15 +34,15 @@
             if k == i {
                 continue;
             }
-            let there = tables[i].beats(max, now_ms, rng);
+            let there = tables[i].sample(max, now_ms, rng);
             tables[k].merge(&there, now_ms + 1);
-            let back = tables[k].beats(max, now_ms + 1, rng);
+            let back = tables[k].sample(max, now_ms + 1, rng);
             tables[i].merge(&back, now_ms + 2);
         }
     }
 }
 
-/// Today's fleet: every router knows the load of every upstream within seconds.
+/// In a small fleet every router must know the load of every upstream within seconds.
 #[test]
 fn small_fleet_knows_every_load() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -64,8 +65,8 @@
     }
 }
 
-/// The fleet to come: 390 routers before 2,200 engines of uneven load. Each router hears only of a
-/// part, and the mean over that part is near the true one.
+/// 390 routers before 2,200 engines of uneven load. Each router receives only a part of the loads,
+/// and the mean over that part must be near the true one.
 #[test]
 fn large_fleet_knows_the_mean() {
     let mut rng = SmallRng::seed_from_u64(2);
@@ -92,26 +93,26 @@
     }
 }
 
-/// A home crashes and its upstream's load stops being repeated: after a while it counts no more.
+/// A home crashes and its upstream's load is no longer repeated: the load must expire.
 #[test]
-fn load_of_dead_home_ages_out() {
+fn load_of_dead_home_expires() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let beat = LoadBeat {
+    let entry = LoadEntry {
         upstream_digest: digest(&names[0]),
         work_ms: 7,
-        ..LoadBeat::default()
+        ..LoadEntry::default()
     };
-    table.merge(&[beat], 1_000);
+    table.merge(&[entry], 1_000);
     let digests = digests(&names);
     assert_eq!(table.known(&digests, 1_100).len(), 1);
-    assert!(table.known(&digests, 1_100 + LOAD_KEEP_MS).is_empty());
+    assert!(table.known(&digests, 1_100 + LOAD_TTL_MS).is_empty());
 }
 
-/// A router loses an upstream to another home while its own jobs there still end: it must not go
-/// on telling a load, or the two homes' figures would alternate.
+/// An upstream's home moves to another router while jobs of the former home still end. The former
+/// home must not go on sending a load, or the figures of the two homes would alternate.
 #[test]
-fn former_home_stops_telling() {
+fn former_home_stops_publishing() {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut table = LoadTable::default();
     let names = names(2);
@@ -119,24 +120,28 @@
     table.publish(&load(&names[0], 50.0));
     table.set_own(names[1..].iter());
     table.publish(&load(&names[0], 40.0));
-    let beats = table.beats(10, 1_000, &mut rng);
-    assert!(beats.iter().all(|b| b.upstream_digest == digest(&names[1])));
+    let entries = table.sample(10, 1_000, &mut rng);
+    assert!(
+        entries
+            .iter()
+            .all(|b| b.upstream_digest == digest(&names[1]))
+    );
 }
 
-/// Two homes told of one upstream and the older news comes in last, passed on by a third: the
-/// newer stands.
+/// Two homes send a load of one upstream, and the older one arrives last through a third router:
+/// the newer one must win.
 #[test]
 fn newest_load_wins() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let beat = |work_ms, age_ms| LoadBeat {
+    let entry = |work_ms, age_ms| LoadEntry {
         upstream_digest: digest(&names[0]),
         work_ms,
         age_ms,
-        ..LoadBeat::default()
+        ..LoadEntry::default()
     };
-    table.merge(&[beat(9, 0)], 1_000);
-    table.merge(&[beat(5, 300)], 1_010);
+    table.merge(&[entry(9, 0)], 1_000);
+    table.merge(&[entry(5, 300)], 1_010);
     let known = table.known(&digests(&names), 1_020);
     assert!((known[&names[0]].work_ms - 9.0).abs() < 1e-9);
 }
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! A router as the others see it.
+//! A router of the fleet as the others know it.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,7 @@
 use crate::schema::peer;
 use crate::util::Name;
 
-/// What is believed of a router.
+/// State of a router in the membership view.
 #[derive(
     Clone, Copy, Debug, Display, EnumString, Eq, Hash, IntoStaticStr, Ord, PartialEq, PartialOrd,
 )]
@@ -16,48 +16,48 @@
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It didn't answer; it may refute.
+    /// It did not answer a probe, and has time to refute.
     Suspect,
-    /// It is stopping by plan: no new work.
+    /// It is in a planned stop and takes no new work.
     Leaving,
-    /// It is gone.
+    /// It has stopped or failed.
     Dead,
 }
 
-/// One router.
+/// One router of the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
     /// Host name, unique in the fleet.
     pub host: Name,
     /// Data centre it runs in.
     pub data_center: Name,
-    /// Start time in milliseconds since the epoch: a replaced host is a new one.
+    /// Start time in milliseconds since the epoch, so that a replaced host has a higher one.
     pub incarnation: u64,
-    /// What is believed of it.
+    /// Its state.
     pub state: MemberState,
-    /// Where routers reach it, over TCP and UDP.
+    /// Address for other routers, over TCP and UDP.
     pub peer_addr: Name,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_addr: Name,
 }
 
 impl Member {
-    /// Whether it may be the home of an upstream.
+    /// Whether it can be the home of an upstream.
     pub fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 impl From<peer::Member> for Member {
-    fn from(told: peer::Member) -> Self {
+    fn from(received: peer::Member) -> Self {
         Self {
-            host: told.host.into(),
-            data_center: told.data_center.into(),
-            incarnation: told.incarnation,
-            // An unknown state comes from a newer release: the member does answer.
-            state: told.state.parse().unwrap_or(MemberState::Alive),
-            peer_addr: told.peer_addr.into(),
-            caller_addr: told.caller_addr.into(),
+            host: received.host.into(),
+            data_center: received.data_center.into(),
+            incarnation: received.incarnation,
+            // An unknown state comes from a newer release, so the member is running.
+            state: received.state.parse().unwrap_or(MemberState::Alive),
+            peer_addr: received.peer_addr.into(),
+            caller_addr: received.caller_addr.into(),
         }
     }
 }
@@ -75,22 +75,22 @@
     }
 }
 
-/// The routers one router knows of, itself among them, sorted by host name.
+/// All routers that one router knows, itself included, sorted by host name.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// All that are not forgotten.
+    /// All members that have not been dropped.
     pub members: Vec<Member>,
-    /// Digests of the upstreams that take no new work.
+    /// Digests of the upstreams that are leaving.
     pub leaving: HashSet<u32>,
 }
 
 impl View {
-    /// Whether `upstream` is going away and takes no new work.
+    /// Whether `upstream` is leaving and takes no new work.
     pub fn is_leaving(&self, upstream: &str) -> bool {
         self.leaving.contains(&loads::digest(upstream))
     }
 
-    /// The member of this name.
+    /// Returns the member named `host`.
     pub fn get(&self, host: &str) -> Option<&Member> {
         self.members.iter().find(|m| &*m.host == host)
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! Which routers are there, and which of them is the home of an upstream.
+//! Membership of the fleet, what its routers publish to one another, and which router is the home
+//! of an upstream.
 //!
-//! Membership is only ever a hint: nothing that must be agreed or kept rests on it.
+//! Membership is only a hint: nothing that must be agreed on or kept depends on it.
 
 pub mod flights;
 pub mod gossip;
--- a/src/fleet/news.rs
+++ b/src/fleet/news.rs
@@ -1,18 +1,19 @@
-//! Who reads the platform's log, and how old what the others were told may grow.
+//! Which routers read the platform's log, and how old the state that they pass on may become.
 //!
-//! Load pattern: every router needs to know what the log says within a second or two, and the log
-//! is read by hundreds. If each reads for itself, its calls grow with the fleet and cost more than
-//! anything else that the fleet does; if one reads for all, its death leaves all blind.
+//! Load pattern: every router needs the state of the log within a second or two, and there are
+//! hundreds of routers. If each reads for itself, the calls grow with the fleet and cost more than
+//! everything else that the fleet does; if one reads for all, its failure leaves all without
+//! updates.
 //!
-//! A few routers read, the same by every router's view, and the others hear from them what they
-//! know and how old that is. Whoever has heard nothing fresh for a while reads for itself, at a
-//! time of its own, so that the first few of these spare the rest. How soon that must be follows from
-//! how soon a change must be in force.
+//! A few routers read, chosen alike from every router's view, and publish the version and age of
+//! their state to the others. A router whose state has become stale reads for itself, at a
+//! randomised time, so that the first few such reads spare the rest. The staleness limit follows
+//! from how soon a change must be in force.
 //!
-//! A log that is away is asked by all who grow stale, as often as a single router would, and the calls grow with the
-//! fleet. So the routers that can reach one another share
-//! a rate of tries, and whoever succeeds tells the rest; one that hears nobody counts as a
-//! fleet of one, and keeps its bound by itself.
+//! While the log is unavailable, all routers become stale; if each retried at the rate of a single
+//! router, the calls would grow with the fleet. So the routers that can reach one another share a
+//! rate of retries, and the first that succeeds publishes to the rest. A router that receives
+//! nothing from others counts as a fleet of one and keeps the bound by itself.
 
 use std::time::Duration;
 
@@ -21,34 +22,37 @@
 use crate::fleet::member::View;
 use crate::util;
 
-/// Routers that read. With three, the loss of two at once leaves one.
+/// Number of routers that read the log. With three, one is left after the loss of two at once.
 pub const READERS: usize = 3;
-/// Part of a bound that a read of the log waits for a change. A connection that went silent shows after this and
-/// the time for an answer; longer waits are fewer calls.
+/// Share of the bound that a read of the log waits for a change. A stalled connection is detected
+/// after this wait and the time for an answer; longer waits mean fewer calls.
 const WAIT_SHARE: f64 = 0.45;
-/// News of this part of a bound make a router read for itself, at the earliest: a reader's wait, and two or three
-/// rounds of 200 ms in which news travel through a fleet of a hundred and more.
+/// A router reads for itself once its state is older than this share of the bound, at the earliest:
+/// a reader's wait, and two or three publishing rounds of 200 ms, in which updates spread through a
+/// fleet of more than a hundred.
 const STALE_SHARE: f64 = 0.65;
-/// The wait beyond that is drawn from up to this part: each router keeps the bound by itself, whoever else reads.
+/// The additional delay is drawn from up to this share of the bound, so that each router keeps the
+/// bound by itself, whichever others read.
 ///
-/// Failure guarded against: drawn from a time that grows with the fleet, the last ones rely on those before them, and a
-/// request reaches an upstream longer after it said that it leaves than is allowed.
+/// Failure guarded against: with a delay that grows with the fleet, the last routers depend on the
+/// earlier ones, and a request reaches an upstream later than allowed after it began to leave.
 const SPREAD_SHARE: f64 = 0.25;
-/// Longer bounds are taken for this: the shortest that deployments have, and what held on all of them.
+/// Longer bounds are reduced to this: the shortest that deployments have, which is feasible on all
+/// of them.
 const MAX_BOUND_MS: f64 = 2_000.0;
-/// Between two tries by routers of one fleet that grow stale together: so many calls a second to each stream, whatever
-/// the fleet's size.
-const TRY_SPACING_MS: f64 = 50.0;
-/// The first pause after a failed read; it doubles with each further failure.
-const RETRY_MS: u64 = 300;
-/// A reader's longest pause while no news come from others: the log's return is known to all within this and some
-/// rounds of news.
+/// Mean interval between two retries of all stale routers of a fleet together: it limits the rate
+/// of calls to each stream, whatever the fleet's size.
+const RETRY_SPACING_MS: f64 = 50.0;
+/// First backoff after a failed read; it doubles with each further failure.
+const FIRST_RETRY_MS: u64 = 300;
+/// Longest backoff of a reader that receives no updates from others. Once the log is back, all
+/// routers know within this time and a few publishing rounds.
 const MAX_READER_RETRY_MS: u64 = 600;
-/// The longest pause of others, if sharing the tries doesn't ask for more. Well below the time after a disturbance in
-/// which hosts count as in touch again, which is seconds.
+/// Longest backoff of other routers, unless sharing the retries asks for more. Well below the
+/// seconds after a disturbance within which hosts must have recovered.
 const MAX_RETRY_MS: u64 = 2_400;
 
-/// Whether `host` is one of the readers. Costs one hash a router.
+/// Whether `host` is one of the readers. Costs one hash per router.
 pub fn is_reader(view: &View, host: &str) -> bool {
     let weight = |name: &str| util::hash_parts(&["news", name]);
     let own = weight(host);
@@ -59,14 +63,14 @@
     others.filter(|m| weight(&m.host) > own).count() < READERS
 }
 
-/// When to read, from how soon a change of the log must be in force everywhere.
+/// Read intervals, derived from how soon a change of the log must be in force everywhere.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     bound_ms: f64,
 }
 
 impl Pace {
-    /// A change must be in force within `bound_ms`.
+    /// Returns the intervals for changes that must be in force within `bound_ms`.
     ///
     /// ```
     /// use cassiagrade::fleet::news::Pace;
@@ -78,37 +82,37 @@
         }
     }
 
-    /// How long a read waits for a change.
+    /// Returns how long a read waits for a change.
     pub fn wait(self) -> Duration {
         Duration::from_millis((self.bound_ms * WAIT_SHARE) as u64)
     }
 
-    /// Up to how much later than the first the last of those that grow stale together reads.
+    /// Range of the random delay with which stale routers read.
     fn spread_ms(self) -> f64 {
         self.bound_ms * SPREAD_SHARE
     }
 }
 
-/// When what is known was last all there was.
+/// When this router's state was last confirmed to be current.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     confirmed_ms: u64,
-    /// Where in the spread this router reads for itself, from 0 to 1; drawn anew each time.
-    lot: f64,
+    /// Position in the range of the random delay, from 0 to 1; drawn anew at each confirmation.
+    jitter: f64,
     is_doubted: bool,
 }
 
 impl Freshness {
-    /// Known to be all there was at `at_ms`.
+    /// Records that the state was current at `at_ms`.
     pub fn confirm<R: Rng>(&mut self, at_ms: u64, rng: &mut R) {
         if at_ms > self.confirmed_ms {
             self.confirmed_ms = at_ms;
-            self.lot = rng.random();
+            self.jitter = rng.random();
             self.is_doubted = false;
         }
     }
 
-    /// The same, but old at once: this router must look for itself.
+    /// Returns the same times, but marked stale, so that this router reads for itself.
     pub fn doubted(self) -> Self {
         Self {
             is_doubted: true,
@@ -116,22 +120,22 @@
         }
     }
 
-    /// Whether this router must look for itself, however fresh the news are.
+    /// Whether this router must read for itself, however fresh its state is.
     pub fn is_doubted(&self) -> bool {
         self.is_doubted
     }
 
-    /// When what is known was last all there was.
+    /// Returns when the state was last confirmed to be current.
     pub fn confirmed_ms(&self) -> u64 {
         self.confirmed_ms
     }
 
-    /// How old what is known is.
+    /// Returns the time since the state was last confirmed.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.confirmed_ms)
     }
 
-    /// Whether it is so old that this router must look for itself.
+    /// Whether the state is so old that this router must read for itself.
     ///
     /// ```
     /// use cassiagrade::fleet::news::{Freshness, Pace};
@@ -147,41 +151,41 @@
         if self.is_doubted || self.confirmed_ms == 0 {
             return true;
         }
-        let stale_ms = pace.bound_ms * STALE_SHARE + self.lot * pace.spread_ms();
+        let stale_ms = pace.bound_ms * STALE_SHARE + self.jitter * pace.spread_ms();
         self.age_ms(now_ms) as f64 > stale_ms
     }
 }
 
-/// When a router whose read of the log failed tries again.
+/// Retry timer of a router whose reads of the log fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failed_ms: Option<u64>,
     failures: u32,
-    lot: f64,
+    jitter: f64,
 }
 
 impl Backoff {
-    /// A read failed.
+    /// Records that a read failed.
     pub fn failed<R: Rng>(&mut self, now_ms: u64, rng: &mut R) {
         self.failed_ms = Some(now_ms);
         self.failures = self.failures.saturating_add(1);
-        self.lot = rng.random_range(0.5..1.5);
+        self.jitter = rng.random_range(0.5..1.5);
     }
 
-    /// A read was answered.
+    /// Records that a read was answered.
     pub fn answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether it is time to try again for one of `routers` that can reach one another; `is_needed` is a reader without
-    /// news from others.
+    /// Whether a retry is due for one of `routers` that can reach one another. `is_needed` is set
+    /// for a reader that receives no updates from others.
     ///
     /// ```
     /// use cassiagrade::fleet::news::Backoff;
     /// use rand::{SeedableRng, rngs::SmallRng};
     /// let mut backoff = Backoff::default();
     /// backoff.failed(1_000, &mut SmallRng::seed_from_u64(1));
-    /// // A reader, or a router by itself, soon; one of many leaves it to the others.
+    /// // A reader, or a router by itself, retries soon; one of many leaves it to the others.
     /// assert!(backoff.is_due(1_500, true, 195) && backoff.is_due(1_500, false, 1));
     /// assert!(!backoff.is_due(4_000, false, 195));
     /// ```
@@ -189,8 +193,8 @@
         let Some(failed_ms) = self.failed_ms else {
             return true;
         };
-        let doubled_ms = RETRY_MS << self.failures.saturating_sub(1).min(8);
-        let shared_ms = (self.lot * routers as f64 * TRY_SPACING_MS) as u64;
+        let doubled_ms = FIRST_RETRY_MS << self.failures.saturating_sub(1).min(8);
+        let shared_ms = (self.jitter * routers as f64 * RETRY_SPACING_MS) as u64;
         let pause_ms = if is_needed {
             doubled_ms.min(MAX_READER_RETRY_MS)
         } else {
@@ -200,20 +204,20 @@
     }
 }
 
-/// One router's role in reading the log.
+/// One router's part in reading the log.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
-    /// It reads for the others.
+    /// Whether it reads for the others.
     pub is_reader: bool,
-    /// Routers that can reach one another here, this one among them.
+    /// Number of routers that can reach one another, this one included.
     pub routers: usize,
 }
 
-/// How long the read that a router must begin now waits for a change; `None` if it must read nothing now.
+/// Returns how long a read that must begin now waits for a change, or `None` if none is due.
 ///
-/// Readers always read, and wait. The rest read when their news are stale, in turns; they only make up for the readers,
-/// want to know at once, and tell the others. A reader that is turned away while its news are fresh leaves it to the
-/// readers that they come from.
+/// Readers always read, and wait for a change. The other routers read only when their state is
+/// stale, each at its own time, and without a wait: they stand in for the readers and publish what
+/// they find. A reader whose reads fail backs off longer while other readers keep its state fresh.
 ///
 /// ```
 /// use cassiagrade::fleet::news::{Backoff, Freshness, Pace, Role, read_due};
--- a/src/fleet/news_tests.rs
+++ b/src/fleet/news_tests.rs
@@ -1,25 +1,27 @@
-//! Reads of the platform's log by whole fleets, on a virtual clock: how many, and how old news grow.
+//! Reads of the platform's log by whole fleets, on a virtual clock: how many there are, and how old
+//! the routers' state becomes.
 
 use rand::rngs::SmallRng;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
 use test_case::test_case;
 
-use super::flights::{MAX_TOLD, TELL_MS};
+use super::flights::{PUBLISH_FANOUT, TELL_MS};
 use super::news::{Backoff, Freshness, Pace, READERS, Role, read_due};
 
-const LOOK_MS: u64 = 100;
+const READ_CHECK_MS: u64 = 100;
 const ANSWER_MS: u64 = 5;
 
 struct Router {
     fresh: Freshness,
     backoff: Backoff,
-    /// When the read that is out is answered, and as of when that answer is all there is.
+    /// Times at which the open read is answered and as of which its answer is current.
     read: Option<(u64, u64)>,
     is_up: bool,
 }
 
-/// Routers of which the first [`READERS`] read, one stream of the log, and tellings in between.
+/// Routers, of which the first [`READERS`] are readers, with one stream of the log, and
+/// publications in between.
 struct Fleet {
     routers: Vec<Router>,
     pace: Pace,
@@ -56,10 +58,10 @@
             self.now_ms += 1;
             self.answer();
             if self.now_ms.is_multiple_of(TELL_MS) {
-                self.tell();
+                self.publish();
             }
-            if self.now_ms.is_multiple_of(LOOK_MS) {
-                self.look();
+            if self.now_ms.is_multiple_of(READ_CHECK_MS) {
+                self.start_reads();
             }
         }
     }
@@ -78,22 +80,22 @@
         }
     }
 
-    /// Each tells some others, drawn anew, how fresh its news are.
-    fn tell(&mut self) {
+    /// Each router publishes to a random part of the others when its state was last confirmed.
+    fn publish(&mut self) {
         let n = self.routers.len();
         for from in 0..n {
             if !self.routers[from].is_up {
                 continue;
             }
             let confirmed_ms = self.routers[from].fresh.confirmed_ms();
-            let told: Vec<usize> = sample(&mut self.rng, n, MAX_TOLD.min(n)).into_vec();
-            for to in told {
+            let receivers: Vec<usize> = sample(&mut self.rng, n, PUBLISH_FANOUT.min(n)).into_vec();
+            for to in receivers {
                 self.routers[to].fresh.confirm(confirmed_ms, &mut self.rng);
             }
         }
     }
 
-    fn look(&mut self) {
+    fn start_reads(&mut self) {
         let n = self.routers.len();
         for (at, router) in self.routers.iter_mut().enumerate() {
             let role = Role {
@@ -104,7 +106,7 @@
             let (true, None, Some(wait)) = (router.is_up, router.read, due) else {
                 continue;
             };
-            // A log that is away answers at once.
+            // A log that is unavailable answers with a failure at once.
             let wait_ms = u64::try_from(wait.as_millis()).unwrap() * u64::from(self.is_log_up);
             router.read = Some((self.now_ms + wait_ms + ANSWER_MS, self.now_ms + wait_ms));
             self.calls += 1;
@@ -117,30 +119,30 @@
     }
 }
 
-/// Hundreds of routers know what the log says, and the log is asked no more often than by three.
+/// Hundreds of routers stay up to date with no more calls to the log than three readers make.
 #[test_case(3; "three")]
 #[test_case(24; "a small fleet")]
 #[test_case(195; "a large fleet")]
-#[test_case(390; "the fleet to come")]
+#[test_case(390; "a very large fleet")]
 fn calls_do_not_grow_with_the_fleet(routers: usize) {
     const SECONDS: u32 = 30;
     let mut fleet = Fleet::start(routers, 4_000.0);
     fleet.run(u64::from(SECONDS) * 1_000);
-    // Three readers that wait 0.9 s for a change, whatever the fleet.
+    // Three readers that wait 0.9 s for a change, whatever the fleet's size.
     assert!(fleet.calls <= SECONDS * 10 / 3 + 6, "{} calls", fleet.calls);
 }
 
-/// The log is away for eight seconds. Every router wants to know, none can, and a log that comes back is met by
-/// hundreds that ask four times a second each. The fleet's rate of tries has a bound, and soon after the log's return
-/// all know.
+/// The log is unavailable for eight seconds, and hundreds of stale routers would each retry four
+/// times a second. The fleet's rate of retries must stay within its limit, and all routers must be
+/// up to date soon after the log is back.
 #[test_case(9, 2_000.0; "a small fleet")]
 #[test_case(195, 4_000.0; "a large fleet")]
-#[test_case(390, 4_000.0; "the fleet to come")]
-fn log_that_is_away_is_asked_in_turns(routers: usize, bound_ms: f64) {
+#[test_case(390, 4_000.0; "a very large fleet")]
+fn retries_to_an_unavailable_log_are_shared(routers: usize, bound_ms: f64) {
     let mut fleet = Fleet::start(routers, bound_ms);
     fleet.is_log_up = false;
     fleet.run(8_000);
-    // The rate that is shared, and a first try of each.
+    // The shared rate, and the first try of each router.
     let most = 8 * 40 + routers;
     assert!(fleet.calls as usize <= most, "{} calls", fleet.calls);
     fleet.is_log_up = true;
@@ -148,11 +150,12 @@
     assert!(fleet.oldest_ms() < 2_000 + bound_ms as u64 / 2);
 }
 
-/// All readers die at once. The others know what the log says before the bound all the same, and not all of them ask.
+/// All readers die at once. The others must be up to date within the bound all the same, without
+/// reading each for itself.
 #[test_case(9, 2_000.0; "a small fleet")]
 #[test_case(195, 4_000.0; "a large fleet")]
-#[test_case(390, 4_000.0; "the fleet to come")]
-fn readers_die_at_once(routers: usize, bound_ms: f64) {
+#[test_case(390, 4_000.0; "a very large fleet")]
+fn loss_of_all_readers_keeps_the_bound(routers: usize, bound_ms: f64) {
     let mut fleet = Fleet::start(routers, bound_ms);
     for reader in &mut fleet.routers[..READERS] {
         reader.is_up = false;
@@ -164,9 +167,9 @@
     }
     assert!(
         (oldest_ms as f64) < bound_ms.min(2_000.0),
-        "news {oldest_ms} ms old"
+        "state {oldest_ms} ms old"
     );
-    // Each by itself would read every 1.3 s: a quarter of that.
+    // Reading each for itself, every 1.3 s: a quarter of that.
     let alone = routers as f64 * 10_000.0 / 1_300.0;
     assert!(
         f64::from(fleet.calls) < (alone / 4.0).max(200.0),
@@ -175,9 +178,10 @@
     );
 }
 
-/// A router that hears no other keeps its bound by itself, whatever the size of the fleet it has lost.
+/// A router that receives nothing from others keeps the bound by itself, whatever the size of the
+/// fleet it has lost contact with.
 #[test]
-fn router_that_is_cut_off_reads_in_time() {
+fn isolated_router_keeps_the_bound() {
     let mut rng = SmallRng::seed_from_u64(1);
     let pace = Pace::within(4_000.0);
     for _ in 0..1_000 {
--- a/src/fleet/roster.rs
+++ b/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The task that polls the platform's list of hosts.
+//! The task that polls the platform's host list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,31 @@
 use crate::fleet::swim::Listed;
 use crate::log::platform::{HostKind, ListedHost, Platform};
 
-/// Routers of the fleet that read the list within one poll, on average.
-const READERS: u32 = 2;
+/// Average number of routers in the fleet that read the list within one poll interval.
+const READERS_PER_POLL: u32 = 2;
 
-/// Reads the list and passes it to the task that owns the probes.
+/// Starts the task that reads the list and passes it to the membership task.
 ///
-/// Two routers of the whole fleet read it every `poll`, and the probes carry what one reader finds to
-/// the others: the list grows with the fleet, and each of its routers may spend only so much.
+/// Only two routers of the whole fleet read the list per `poll` interval, and gossip spreads what
+/// they find: the list grows with the fleet, and the control traffic of each router must not.
 pub(crate) fn spawn(
     platform: Platform,
     gossip: Gossip,
     view: watch::Receiver<Arc<View>>,
     poll: Duration,
 ) {
-    compio::runtime::spawn(follow(platform, gossip, view, poll)).detach();
+    compio::runtime::spawn(poll_list(platform, gossip, view, poll)).detach();
 }
 
-/// Time to the next read in a fleet of `routers`, spread so that they don't read at once.
+/// Returns the time to the next read in a fleet of `routers`, with jitter so that they don't all
+/// read at once.
 fn pause<R: Rng>(poll: Duration, routers: usize, rng: &mut R) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
-    let mean = poll * routers.div_ceil(READERS).max(1);
+    let mean = poll * routers.div_ceil(READERS_PER_POLL).max(1);
     mean.mul_f64(rng.random_range(0.75..1.25))
 }
 
-async fn follow(
+async fn poll_list(
     platform: Platform,
     gossip: Gossip,
     view: watch::Receiver<Arc<View>>,
@@ -51,7 +52,9 @@
                 let leaving = leaving.map(|host| host.name.into()).collect();
                 gossip.note(Note::Listed(routers, leaving));
             }
-            Err(e) => log::warn!("list of hosts can't be read: {e}"),
+            Err(e) => log::warn!(
+                "reading the platform's host list failed; retrying at the next poll: {e}"
+            ),
         }
         let routers = view.borrow().members.len();
         let pause = pause(poll, routers, &mut rand::rng());
--- a/src/fleet/suspects.rs
+++ b/src/fleet/suspects.rs
@@ -1,44 +1,45 @@
-//! Suspicions of requests as they travel round the fleet: a table without sockets or clock.
+//! Suspicions of requests, spread by gossip: a table without sockets or a clock of its own.
 
 use std::collections::HashMap;
 
 use crate::schema::peer::Suspicion;
 
-/// Longer than any request is held in quarantine.
-const KEEP_MS: u64 = 900_000;
-/// Two tellings this close are one: ages drift a little on the way.
-const SAME_MS: u64 = 2_000;
+/// Entries expire after this time, which is longer than any request stays in quarantine.
+const SUSPICION_TTL_MS: u64 = 900_000;
+/// Entries whose times differ by less than this are the same event: ages drift a little at each
+/// hop.
+const AGE_TOLERANCE_MS: u64 = 2_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Row {
     deaths: u32,
     cleared: bool,
     at_ms: u64,
-    told: u32,
+    sends: u32,
 }
 
-/// Suspicions heard and held, one a fingerprint.
+/// Latest suspicion for each fingerprint.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     rows: HashMap<u64, Row>,
 }
 
 impl SuspectTable {
-    /// Takes over what is newer; tells whether anything changed.
+    /// Merges suspicions that supersede the known ones. Returns whether anything changed.
     ///
-    /// Deaths add up at the one router that runs the request again, so the larger count stands;
-    /// a success clears all deaths before it.
-    pub fn merge(&mut self, told: &[Suspicion], now_ms: u64) -> bool {
+    /// Deaths are counted by the one router that retries the request, so the larger count wins; a
+    /// success clears all deaths before it.
+    pub fn merge(&mut self, received: &[Suspicion], now_ms: u64) -> bool {
         let mut changed = false;
-        for suspicion in told.iter().filter(|s| s.age_ms < KEEP_MS) {
+        for suspicion in received.iter().filter(|s| s.age_ms < SUSPICION_TTL_MS) {
             let row = Row {
                 deaths: suspicion.deaths,
                 cleared: suspicion.cleared,
                 at_ms: now_ms.saturating_sub(suspicion.age_ms),
-                told: 0,
+                sends: 0,
             };
             let known = self.rows.get(&suspicion.fingerprint).copied();
-            if known.is_none_or(|known| row.beats(&known)) {
+            if known.is_none_or(|known| row.supersedes(&known)) {
                 self.rows.insert(suspicion.fingerprint, row);
                 changed = true;
             }
@@ -46,26 +47,26 @@
         changed
     }
 
-    /// At most `max` suspicions that were told fewer than `limit` times.
-    pub fn rumours(&mut self, max: usize, limit: u32, now_ms: u64) -> Vec<Suspicion> {
+    /// Returns at most `max` suspicions that have been sent fewer than `limit` times.
+    pub fn updates_to_send(&mut self, max: usize, limit: u32, now_ms: u64) -> Vec<Suspicion> {
         self.rows
-            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < KEEP_MS);
+            .retain(|_, row| now_ms.saturating_sub(row.at_ms) < SUSPICION_TTL_MS);
         let mut fresh: Vec<(&u64, &mut Row)> = self
             .rows
             .iter_mut()
-            .filter(|(_, row)| row.told < limit)
+            .filter(|(_, row)| row.sends < limit)
             .collect();
-        fresh.sort_by_key(|(_, row)| row.told);
+        fresh.sort_by_key(|(_, row)| row.sends);
         let fresh = fresh.into_iter().take(max);
         fresh
             .map(|(fingerprint, row)| {
-                row.told += 1;
+                row.sends += 1;
                 row.suspicion(*fingerprint, now_ms)
             })
             .collect()
     }
 
-    /// Everything held.
+    /// Returns all suspicions.
     pub fn all(&self, now_ms: u64) -> Vec<Suspicion> {
         let rows = self.rows.iter();
         rows.map(|(fingerprint, row)| row.suspicion(*fingerprint, now_ms))
@@ -74,9 +75,9 @@
 }
 
 impl Row {
-    fn beats(&self, known: &Self) -> bool {
+    fn supersedes(&self, known: &Self) -> bool {
         if self.cleared == known.cleared {
-            return self.deaths > known.deaths || self.at_ms > known.at_ms + SAME_MS;
+            return self.deaths > known.deaths || self.at_ms > known.at_ms + AGE_TOLERANCE_MS;
         }
         self.at_ms > known.at_ms
     }
--- a/src/fleet/swim/entry.rs
+++ b/src/fleet/swim/entry.rs
@@ -1,4 +1,4 @@
-//! What one router holds of another.
+//! Entry of one member in a router's member table.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 pub(super) struct Entry {
     pub(super) member: Member,
     pub(super) addr: Option<SocketAddr>,
-    /// When its state was taken over here.
+    /// When its state last changed here.
     pub(super) since_ms: u64,
-    /// When a message of its own last came.
-    pub(super) heard_ms: u64,
-    /// No answer by any path since then.
+    /// When its last message arrived.
+    pub(super) last_received_ms: u64,
+    /// Since when no probe has been answered, direct or indirect.
     pub(super) silent_since_ms: Option<u64>,
-    /// Times this entry was passed on since it changed.
-    pub(super) told: u32,
-    /// The incarnation up to which the platform says it leaves.
+    /// Number of times the entry has been sent since it changed.
+    pub(super) sends: u32,
+    /// The highest incarnation that the platform's list marks as leaving.
     pub(super) leaving_up_to: Option<u64>,
     pub(super) listed: bool,
 }
@@ -27,9 +27,9 @@
             addr: member.peer_addr.parse().ok(),
             member,
             since_ms: now_ms,
-            heard_ms: 0,
+            last_received_ms: 0,
             silent_since_ms: None,
-            told: 0,
+            sends: 0,
             leaving_up_to: None,
             listed: false,
         }
@@ -39,9 +39,9 @@
         self.member.state != MemberState::Dead
     }
 
-    /// The member as the rest of the router sees it: the list's "leaving" holds for the
-    /// incarnation it was said of, not for one that started later.
-    pub(super) fn shown(&self) -> Member {
+    /// Returns the member as the rest of the router sees it. The list's "leaving" applies to the
+    /// incarnation that was listed, not to one that started later.
+    pub(super) fn effective(&self) -> Member {
         let mut member = self.member.clone();
         let leaving = self.leaving_up_to.is_some_and(|i| member.incarnation <= i);
         if leaving && member.takes_work() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Of two things said of one incarnation, the higher stands.
+/// Order of states of one incarnation: the higher one wins.
 pub(super) fn rank(state: MemberState) -> u8 {
     match state {
         MemberState::Alive => 0,
--- a/src/fleet/swim/mod.rs
+++ b/src/fleet/swim/mod.rs
@@ -1,12 +1,13 @@
 //! Membership by probing, as in SWIM: a state machine without sockets, clock or randomness of its own.
 //!
 //! Each round one member is probed: directly, then through others, so that one bad path doesn't
-//! condemn it. A member that answers neither is suspected and has time to refute; only then is it
-//! held for dead. Incarnations order what is said of a member: a refutation raises its own, and a
-//! replaced host starts with a higher one, so old rumours of its address don't stick.
+//! count as a failure of the member. A member that answers neither is suspected and has time to
+//! refute; only then is it declared dead. Incarnations order the states of a member: a refutation
+//! raises the member's own, and a replaced host starts with a higher one, so old states of its
+//! address are ignored.
 
-mod beliefs;
 mod entry;
+mod merge;
 mod probing;
 
 use std::cmp::Reverse;
@@ -20,18 +21,19 @@
 use crate::fleet::swim::entry::Entry;
 use crate::util::Name;
 
-/// How members are probed and given up.
+/// Timing of probes and suspicions.
 #[derive(Clone, Copy, Debug)]
 pub struct SwimPolicy {
-    /// Time between two probes that this router starts.
+    /// Interval between two probes that this router starts.
     pub probe_interval_ms: u64,
-    /// How long a direct probe may take before others are asked.
+    /// How long a direct probe may take before indirect ones are sent.
     pub probe_timeout_ms: u64,
-    /// How long a suspect may refute, in a fleet of up to 16; it grows with the logarithm.
+    /// How long a suspect may refute, in a fleet of up to 16 routers; it grows with the logarithm
+    /// of the size.
     pub suspicion_ms: u64,
-    /// How many others probe on this router's behalf.
+    /// Number of routers that send indirect probes on this router's behalf.
     pub relays: usize,
-    /// How long a dead member is remembered, so that old rumours don't bring it back.
+    /// How long a dead member stays in the table, so that old states don't bring it back.
     pub forget_ms: u64,
 }
 
@@ -47,21 +49,21 @@
     }
 }
 
-/// What routers send one another, without what rides along.
+/// A protocol message, without the gossip sent along with it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`]; with a target, on behalf of the sender.
+    /// Requests a [`Message::Ack`], from the receiver or from a third host on behalf of the sender.
     Ping {
-        /// Returned in the answer.
+        /// Sequence number, returned in the answer.
         seq: u32,
         /// Empty, or the host to probe.
         target: Name,
     },
-    /// The answer.
+    /// Answer to a probe.
     Ack {
-        /// The probe's.
+        /// Sequence number of the probe.
         seq: u32,
-        /// Who is alive.
+        /// The host that is alive.
         host: Name,
     },
 }
@@ -69,25 +71,25 @@
 /// A message to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Out {
-    /// Where to.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The host that is expected there, if known.
+    /// The host that is expected at that address, if known.
     pub host: Option<Name>,
-    /// What.
+    /// The message.
     pub message: Message,
 }
 
-/// A line of the platform's list, as membership sees it.
+/// An entry of the platform's host list.
 #[derive(Clone, Debug)]
 pub struct Listed {
-    /// The host; its incarnation isn't known to the list and is zero.
+    /// The host; its incarnation is zero, as the list doesn't have it.
     pub member: Member,
-    /// The platform is taking it away.
+    /// Whether the platform is taking the host away.
     pub leaving: bool,
 }
 
-/// A rumour is sent this many times, times the logarithm of the fleet's size.
-const RUMOUR_FACTOR: u32 = 3;
+/// A change is sent this many times, multiplied by the logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: u32 = 3;
 
 #[derive(Debug)]
 struct Probe {
@@ -98,12 +100,12 @@
 
 #[derive(Debug)]
 struct Relay {
-    asker: SocketAddr,
-    asker_seq: u32,
+    requester: SocketAddr,
+    requester_seq: u32,
     sent_ms: u64,
 }
 
-/// One router's picture of the fleet.
+/// Membership state of one router.
 #[derive(Debug)]
 pub struct Swim {
     policy: SwimPolicy,
@@ -117,14 +119,14 @@
     probe_count: u32,
     started_ms: u64,
     last_tick_ms: u64,
-    /// Set when this router slept: until another one answers, or this time comes.
+    /// Set when this process was paused: until another router answers, or until this time.
     doubt_until_ms: Option<u64>,
     replaced: bool,
     changed: bool,
 }
 
 impl Swim {
-    /// A router that knows only itself.
+    /// Creates the state of a router that knows only itself.
     pub fn new(me: Member, policy: SwimPolicy, now_ms: u64) -> Self {
         let name = me.host.clone();
         let mut members = BTreeMap::new();
@@ -147,33 +149,34 @@
         }
     }
 
-    /// This router as it tells of itself.
+    /// Returns this router's own member entry, as it is sent to others.
     pub fn me(&self) -> &Member {
         &self.members[&self.me].member
     }
 
-    /// Another process took over this router's name: it must not take work again.
+    /// Whether another process has this router's name; this one must not take work again.
     pub fn replaced(&self) -> bool {
         self.replaced
     }
 
-    /// This router slept and doesn't know yet whether it was given up.
+    /// Whether this process was paused and it is unknown whether others have declared it dead.
     ///
-    /// Failure guarded against: a router that is stopped for seconds (a paused host) wakes and
+    /// Failure guarded against: a router that is paused for seconds, as its host is, resumes and
     /// admits work to upstreams that have another home by now. It stays in doubt until another
-    /// router answers a probe sent after it woke: that answer says whether it was given up.
+    /// router answers a probe sent after the pause; the answer carries its state if it was declared
+    /// dead.
     pub fn in_doubt(&self) -> bool {
         self.doubt_until_ms.is_some()
     }
 
-    /// Whether the view differs from when this was last asked.
+    /// Returns whether the view has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// All members that are remembered. In doubt or replaced, this router is `Leaving` in it.
+    /// Returns all members. While in doubt or replaced, this router is `Leaving` in it.
     pub fn view(&self) -> View {
-        let mut members: Vec<Member> = self.members.values().map(Entry::shown).collect();
+        let mut members: Vec<Member> = self.members.values().map(Entry::effective).collect();
         if self.in_doubt() || self.replaced {
             for member in members.iter_mut().filter(|m| m.host == self.me) {
                 member.state = MemberState::Leaving;
@@ -185,19 +188,19 @@
         }
     }
 
-    /// Everyone who was heard of, as told to others.
+    /// Returns all members whose incarnation is known, as they are sent to others.
     pub fn all(&self) -> Vec<Member> {
         let heard = self.members.values().filter(|e| e.member.incarnation > 0);
         heard.map(|e| e.member.clone()).collect()
     }
 
-    /// Members that take work or leave, this router among them.
+    /// Returns the number of members that are not dead, this router included.
     pub fn live(&self) -> usize {
         let live = self.members.values();
         live.filter(|e| e.member.state != MemberState::Dead).count()
     }
 
-    /// Takes over the platform's list. A host that is new here starts as alive: a wrong line
+    /// Merges the platform's host list. A host that is new here starts as alive: a wrong entry
     /// costs a few probes, and all routers that read the same list agree at once.
     pub fn listed(&mut self, hosts: Vec<Listed>, now_ms: u64) {
         for entry in self.members.values_mut() {
@@ -210,11 +213,11 @@
             });
             entry.listed = true;
             let up_to = leaving.then_some(entry.member.incarnation);
-            let before = entry.shown().state;
+            let before = entry.effective().state;
             if !leaving || entry.leaving_up_to.is_none() {
                 entry.leaving_up_to = up_to;
             }
-            self.changed |= entry.shown().state != before;
+            self.changed |= entry.effective().state != before;
         }
         let forget_ms = self.policy.forget_ms;
         let me = self.me.clone();
@@ -224,55 +227,56 @@
         });
     }
 
-    /// This router stops by plan: no new work.
+    /// Begins a planned stop: this router takes no new work.
     pub fn leave(&mut self, now_ms: u64) {
-        self.say_of_me(MemberState::Leaving, now_ms);
+        self.set_own_state(MemberState::Leaving, now_ms);
     }
 
-    /// This router has finished; the messages tell a few others at once.
-    pub fn goodbye<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Out> {
-        self.say_of_me(MemberState::Dead, now_ms);
-        self.some_others(self.policy.relays, None, rng)
+    /// Ends a planned stop. The returned messages notify a few other routers at once.
+    pub fn finish<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Out> {
+        self.set_own_state(MemberState::Dead, now_ms);
+        self.random_members(self.policy.relays, None, rng)
             .into_iter()
             .filter_map(|host| self.ping(&host, now_ms))
             .collect()
     }
 
-    fn say_of_me(&mut self, state: MemberState, now_ms: u64) {
+    fn set_own_state(&mut self, state: MemberState, now_ms: u64) {
         let me = self.me.clone();
         let Some(entry) = self.members.get_mut(&me) else {
             return;
         };
         entry.member.state = state;
         entry.since_ms = now_ms;
-        entry.told = 0;
+        entry.sends = 0;
         self.changed = true;
     }
 
-    /// At most `max` members to tell `to` of: first what `to` must refute or learn of itself, then
-    /// the newest rumours, then any one member so that lost rumours are made good.
+    /// Returns at most `max` members to send to `to`: first the state of `to` if it must be refuted
+    /// or accepted, then the least sent and newest changes. If there are none, one random member,
+    /// so that lost datagrams are made up for.
     pub fn rumours<R: Rng>(&mut self, to: Option<&Name>, max: usize, rng: &mut R) -> Vec<Member> {
-        let limit = RUMOUR_FACTOR * (self.live().max(2).ilog2() + 1);
-        let mut told = Vec::with_capacity(max);
+        let limit = RETRANSMIT_FACTOR * (self.live().max(2).ilog2() + 1);
+        let mut updates = Vec::with_capacity(max);
         if let Some(entry) = to.and_then(|to| self.members.get(to))
             && matches!(entry.member.state, MemberState::Suspect | MemberState::Dead)
         {
-            told.push(entry.member.clone());
+            updates.push(entry.member.clone());
         }
         let mut fresh: Vec<&mut Entry> = self
             .members
             .values_mut()
-            .filter(|e| e.told < limit && e.member.incarnation > 0)
+            .filter(|e| e.sends < limit && e.member.incarnation > 0)
             .collect();
-        fresh.sort_by_key(|e| (e.told, Reverse(e.since_ms)));
-        for entry in fresh.into_iter().take(max.saturating_sub(told.len())) {
-            entry.told += 1;
-            told.push(entry.member.clone());
+        fresh.sort_by_key(|e| (e.sends, Reverse(e.since_ms)));
+        for entry in fresh.into_iter().take(max.saturating_sub(updates.len())) {
+            entry.sends += 1;
+            updates.push(entry.member.clone());
         }
-        if told.is_empty() {
+        if updates.is_empty() {
             let known = self.members.values().filter(|e| e.member.incarnation > 0);
-            told.extend(known.map(|e| e.member.clone()).choose(rng));
+            updates.extend(known.map(|e| e.member.clone()).choose(rng));
         }
-        told
+        updates
     }
 }
--- a/src/fleet/swim/probing.rs
+++ b/src/fleet/swim/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: who is asked when, and what silence leads to.
+//! Probes: which member is probed when, and what follows if it doesn't answer.
 
 use std::net::SocketAddr;
 
@@ -10,18 +10,18 @@
 use crate::fleet::swim::{Message, Out, Probe, Relay, Swim, SwimPolicy};
 use crate::util::Name;
 
-/// One probe in this many goes to a member held for dead, so that a healed partition is found.
-const DEAD_PROBE_EVERY: u32 = 8;
-/// Probes a tick of members that only the list has told of.
-const FIRST_PROBES: usize = 4;
+/// One probe in this many goes to a dead member, so that the end of a partition is detected.
+const DEAD_PROBE_INTERVAL: u32 = 8;
+/// Number of probes per tick to members that are known only from the platform's list.
+const LISTED_PROBES_PER_TICK: usize = 4;
 
 impl Swim {
-    /// What moves by time alone: late probes, suspicions that ran out, the next probe.
+    /// Handles late probes and expired suspicions, and starts the next probe.
     pub fn tick<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Out> {
-        self.notice_sleep(now_ms);
+        self.detect_pause(now_ms);
         let mut out = Vec::new();
-        self.late_probes(now_ms, rng, &mut out);
-        self.silent_members(now_ms);
+        self.expire_probes(now_ms, rng, &mut out);
+        self.expire_suspicions(now_ms);
         let first: Vec<Name> = self.unconfirmed(rng);
         for host in first {
             out.extend(self.probe(&host, now_ms));
@@ -35,18 +35,18 @@
         out
     }
 
-    /// A late tick means that this process didn't run: its probes prove nothing of others, and
-    /// after a long sleep others may have given it up.
-    fn notice_sleep(&mut self, now_ms: u64) {
-        let slept_ms = now_ms.saturating_sub(self.last_tick_ms);
+    /// A late tick means that this process was paused: its open probes prove nothing about others,
+    /// and after a long pause others may have declared it dead.
+    fn detect_pause(&mut self, now_ms: u64) {
+        let paused_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = now_ms;
-        if slept_ms > self.policy.probe_timeout_ms {
+        if paused_ms > self.policy.probe_timeout_ms {
             self.probes.clear();
             for entry in self.members.values_mut() {
-                entry.silent_since_ms = entry.silent_since_ms.map(|since| since + slept_ms);
+                entry.silent_since_ms = entry.silent_since_ms.map(|since| since + paused_ms);
             }
         }
-        if slept_ms > self.policy.suspicion_ms && self.live() > 1 {
+        if paused_ms > self.policy.suspicion_ms && self.live() > 1 {
             self.doubt_until_ms = Some(now_ms + self.policy.suspicion_ms);
             self.next_probe_ms = now_ms;
             self.changed = true;
@@ -57,7 +57,7 @@
         }
     }
 
-    fn late_probes<R: Rng>(&mut self, now_ms: u64, rng: &mut R, out: &mut Vec<Out>) {
+    fn expire_probes<R: Rng>(&mut self, now_ms: u64, rng: &mut R, out: &mut Vec<Out>) {
         let SwimPolicy {
             probe_timeout_ms,
             probe_interval_ms,
@@ -72,25 +72,25 @@
             .map(|(seq, _)| *seq)
             .collect();
         for seq in direct {
-            self.ask_others(seq, rng, out);
+            self.probe_indirectly(seq, rng, out);
         }
         let limit_ms = probe_timeout_ms + probe_interval_ms;
         let failed = self.probes.extract_if(|_, p| age(p) >= limit_ms);
         let failed: Vec<Probe> = failed.map(|(_, p)| p).collect();
         for probe in failed {
-            self.unanswered(&probe, now_ms, out);
+            self.probe_failed(&probe, now_ms, out);
         }
         self.relays
             .retain(|_, r| now_ms.saturating_sub(r.sent_ms) < limit_ms);
     }
 
-    fn ask_others<R: Rng>(&mut self, seq: u32, rng: &mut R, out: &mut Vec<Out>) {
+    fn probe_indirectly<R: Rng>(&mut self, seq: u32, rng: &mut R, out: &mut Vec<Out>) {
         let Some(probe) = self.probes.get_mut(&seq) else {
             return;
         };
         probe.indirect = true;
         let target = probe.target.clone();
-        for host in self.some_others(self.policy.relays, Some(&target), rng) {
+        for host in self.random_members(self.policy.relays, Some(&target), rng) {
             let message = Message::Ping {
                 seq,
                 target: target.clone(),
@@ -99,36 +99,36 @@
         }
     }
 
-    /// Neither the direct probe nor those through others were answered.
+    /// Handles a probe that was answered neither directly nor through others.
     ///
     /// Failure guarded against: a host is replaced while a probe of its predecessor is under way,
-    /// and the new process is suspected for the old one's silence. Whatever came from the host
-    /// since the probe left proves that it lives.
-    fn unanswered(&mut self, probe: &Probe, now_ms: u64, out: &mut Vec<Out>) {
+    /// and the new process is suspected because the old one didn't answer. Any message that came
+    /// from the host since the probe was sent proves that it is alive.
+    fn probe_failed(&mut self, probe: &Probe, now_ms: u64, out: &mut Vec<Out>) {
         let host = &probe.target;
         let Some(entry) = self.members.get_mut(host) else {
             return;
         };
-        if entry.heard_ms >= probe.sent_ms {
+        if entry.last_received_ms >= probe.sent_ms {
             return;
         }
         entry.silent_since_ms.get_or_insert(now_ms);
         match entry.member.state {
-            // Nobody has ever heard of it but the list: no one would wait for its refutation.
+            // Known only from the list, it needs no time to refute.
             MemberState::Alive if entry.member.incarnation == 0 => {
                 self.set(host, 0, MemberState::Dead, now_ms);
             }
             MemberState::Alive => {
                 let incarnation = entry.member.incarnation;
                 self.set(host, incarnation, MemberState::Suspect, now_ms);
-                // Tells the suspect itself, so that it can refute at once.
+                // Notifies the suspect, so that it can refute at once.
                 out.extend(self.ping(host, now_ms));
             }
             MemberState::Suspect | MemberState::Leaving | MemberState::Dead => {}
         }
     }
 
-    fn silent_members(&mut self, now_ms: u64) {
+    fn expire_suspicions(&mut self, now_ms: u64) {
         let limit_ms = self.suspicion_ms();
         let over = |since: u64| now_ms.saturating_sub(since) >= limit_ms;
         let given_up = |e: &Entry| match e.member.state {
@@ -136,18 +136,19 @@
             MemberState::Leaving => e.silent_since_ms.is_some_and(over),
             MemberState::Alive | MemberState::Dead => false,
         };
-        let gone: Vec<(Name, u64)> = self
+        let expired: Vec<(Name, u64)> = self
             .members
             .values()
             .filter(|e| e.member.host != self.me && given_up(e))
             .map(|e| (e.member.host.clone(), e.member.incarnation))
             .collect();
-        for (host, incarnation) in gone {
+        for (host, incarnation) in expired {
             self.set(&host, incarnation, MemberState::Dead, now_ms);
         }
     }
 
-    /// A refutation needs a few rounds to reach everyone, and the rounds grow with the logarithm.
+    /// A refutation needs a few rounds to reach all routers; their number grows with the logarithm
+    /// of the fleet's size.
     fn suspicion_ms(&self) -> u64 {
         let rounds = u64::from(self.live().max(2).ilog2());
         self.policy.suspicion_ms * rounds.max(4) / 4
@@ -161,15 +162,15 @@
             .map(|e| &e.member.host)
             .filter(|host| **host != self.me && !probed(host))
             .cloned()
-            .choose_multiple(rng, FIRST_PROBES)
+            .choose_multiple(rng, LISTED_PROBES_PER_TICK)
     }
 
-    /// Every member once, in random order, before any comes again: a crash is probed within one
-    /// round by someone, however large the fleet.
+    /// Returns each member once in random order before any is repeated: some router probes a
+    /// crashed member within one round, however large the fleet.
     fn next_target<R: Rng>(&mut self, rng: &mut R) -> Option<Name> {
         self.probe_count = self.probe_count.wrapping_add(1);
-        if self.probe_count.is_multiple_of(DEAD_PROBE_EVERY)
-            && let Some(dead) = self.dead(rng)
+        if self.probe_count.is_multiple_of(DEAD_PROBE_INTERVAL)
+            && let Some(dead) = self.random_dead(rng)
         {
             return Some(dead);
         }
@@ -188,12 +189,12 @@
         None
     }
 
-    fn dead<R: Rng>(&self, rng: &mut R) -> Option<Name> {
+    fn random_dead<R: Rng>(&self, rng: &mut R) -> Option<Name> {
         let dead = self.members.values().filter(|e| !e.is_live() && e.listed);
         dead.map(|e| e.member.host.clone()).choose(rng)
     }
 
-    pub(super) fn some_others<R: Rng>(
+    pub(super) fn random_members<R: Rng>(
         &self,
         n: usize,
         but: Option<&Name>,
@@ -257,8 +258,8 @@
                 };
                 if let Message::Ping { seq: own, .. } = &out.message {
                     let relay = Relay {
-                        asker: from,
-                        asker_seq: seq,
+                        requester: from,
+                        requester_seq: seq,
                         sent_ms: now_ms,
                     };
                     self.relays.insert(*own, relay);
@@ -270,7 +271,7 @@
     }
 
     fn acked(&mut self, seq: u32, host: Name, now_ms: u64) -> Vec<Out> {
-        // An answer of another host at the target's address proves nothing of the target.
+        // An answer of another host at the target's address proves nothing about the target.
         if self.probes.get(&seq).is_some_and(|p| p.target == host) {
             self.probes.remove(&seq);
             self.answered(&host);
@@ -281,10 +282,10 @@
         }
         match self.relays.remove(&seq) {
             Some(relay) => vec![Out {
-                to: relay.asker,
+                to: relay.requester,
                 host: None,
                 message: Message::Ack {
-                    seq: relay.asker_seq,
+                    seq: relay.requester_seq,
                     host,
                 },
             }],
--- a/src/gen/config.rs
+++ b/src/gen/config.rs
@@ -29,7 +29,7 @@
     #[prost(string, tag = "2")]
     pub path_prefix: ::prost::alloc::string::String,
 }
-/// A service callers name: a pool of model engines or of plain HTTP hosts.
+/// A service that callers address: a pool of model engines or of plain HTTP hosts.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
@@ -111,7 +111,7 @@
     #[prost(bool, tag = "2")]
     pub evacuated: bool,
 }
-/// A wanted version for every engine of a service.
+/// The version that every engine of a service is to run.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
@@ -196,7 +196,7 @@
     pub last_change: ::prost::alloc::string::String,
     #[prost(string, tag = "10")]
     pub last_author: ::prost::alloc::string::String,
-    /// Those that are evacuated.
+    /// The evacuated ones only.
     #[prost(message, repeated, tag = "11")]
     pub data_centers: ::prost::alloc::vec::Vec<DataCenterMark>,
 }
--- a/src/gen/settings.rs
+++ b/src/gen/settings.rs
@@ -20,7 +20,7 @@
     /// Callers' HTTP.
     #[prost(string, tag = "1")]
     pub caller_addr: ::prost::alloc::string::String,
-    /// Other routers: h2 over TCP, and probes over UDP on the same port.
+    /// For other routers: HTTP/2 over TCP, and probes over UDP on the same port.
     #[prost(string, tag = "2")]
     pub peer_addr: ::prost::alloc::string::String,
     /// Operators' gRPC.
@@ -29,10 +29,10 @@
     /// Metrics, health and readiness pages.
     #[prost(string, tag = "4")]
     pub admin_addr: ::prost::alloc::string::String,
-    /// Where callers ask for addresses, with the keyed log.
+    /// Where callers ask for router addresses, with the keyed log.
     #[prost(string, tag = "5")]
     pub entry_addr: ::prost::alloc::string::String,
-    /// Where the platform asks for readiness, with the keyed log.
+    /// Where the platform checks readiness, with the keyed log.
     #[prost(string, tag = "6")]
     pub ready_addr: ::prost::alloc::string::String,
 }
@@ -48,14 +48,14 @@
     pub log_poll_ms: u32,
     #[prost(uint32, tag = "4")]
     pub host_list_poll_ms: u32,
-    /// How long the log surely keeps a record.
+    /// How long the log is guaranteed to keep a record.
     #[prost(uint64, tag = "5")]
     pub retention_ms: u64,
-    /// Least time between two appends of claims to one stream.
+    /// Minimum time between two appends of claims to one stream.
     #[prost(uint32, tag = "6")]
     pub claim_window_ms: u32,
-    /// "own": this project's log and list of hosts. "keyed_log": a log that keeps the newest record of
-    /// each key, on which operators and upstreams write what routers read.
+    /// "own": this project's log and host list. "keyed_log": a log that keeps the newest record of
+    /// each key, to which operators and upstreams write and from which routers read.
     #[prost(string, tag = "7")]
     pub protocol: ::prost::alloc::string::String,
 }
@@ -76,7 +76,8 @@
     pub entry_ttl_ms: u32,
     #[prost(uint32, tag = "6")]
     pub drain_limit_ms: u32,
-    /// Hosts to ask for the fleet when the platform can't be read: addresses, separated by commas.
+    /// Hosts to ask for the member list when the platform is unavailable: addresses, separated by
+    /// commas.
     #[prost(string, tag = "7")]
     pub seed_addrs: ::prost::alloc::string::String,
     /// How long a process may take to stop, with the keyed log.
@@ -85,7 +86,8 @@
     /// Retries of the whole fleet, as a share of its requests.
     #[prost(double, tag = "9")]
     pub retry_share: f64,
-    /// Retries beyond that share that may come at once, fleet-wide. A bound that is worked out by size needn't be whole.
+    /// Retries beyond that share that may occur at once, fleet-wide. A bound that is computed from the
+    /// fleet's size may be fractional.
     #[prost(double, tag = "10")]
     pub retry_burst: f64,
     /// With the keyed log: how soon an accepted configuration must be in force on all hosts.
@@ -118,8 +120,8 @@
     pub default_deadline_ms: u32,
     #[prost(uint32, tag = "6")]
     pub max_connections: u32,
-    /// Files that the process may have open; callers' connections take a share. 0: not known. A limit that is worked
-    /// out by size needn't be whole.
+    /// Limit of open files of the process; callers' connections take a share. 0: not known. A limit
+    /// that is computed from the host's size may be fractional.
     #[prost(double, tag = "7")]
     pub max_open_files: f64,
 }
@@ -134,46 +136,49 @@
     #[prost(bool, tag = "2")]
     pub events: bool,
 }
-/// Mechanisms that can be switched off, with the keyed log: to find which one misbehaves, or to do without
-/// it until it is mended. All are on unless said otherwise.
+/// Mechanisms that can be switched off, with the keyed log: to find which one misbehaves, or to do
+/// without it until it is repaired. All are on by default.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Decisions {
-    /// Requests wait or are refused here when a service has no room. Off: all are sent at once.
+    /// Requests wait or are refused here when a service has no free slot. Off: all are sent at once.
     #[prost(bool, tag = "1")]
     pub admission: bool,
-    /// Prompts go where their shared parts are cached. Off: to the upstream that runs the least.
+    /// Prompts go where their shared parts are cached. Off: to the upstream with the fewest running
+    /// requests.
     #[prost(bool, tag = "2")]
     pub part_order: bool,
-    /// A part spreads to a second upstream when its first runs much more than the pool's mean. Off: only when that is full.
+    /// A part spreads to a second upstream when its first one runs much more than the pool's mean.
+    /// Off: only when that one is full.
     #[prost(bool, tag = "3")]
     pub load_bound: bool,
-    /// An upstream fetches a shared part from one that has it. Off: it reads the part itself.
+    /// An upstream fetches a shared part from one that has it. Off: it computes the part itself.
     #[prost(bool, tag = "4")]
     pub fetch: bool,
-    /// What other routers run counts towards an upstream's load. Off: only what this one runs.
+    /// Requests that other routers run count towards an upstream's load. Off: only this router's own
+    /// do.
     #[prost(bool, tag = "5")]
     pub told_counts: bool,
     /// Upstreams that fail in a row or are slow beside their pool get no work for a while.
     #[prost(bool, tag = "6")]
     pub ejection: bool,
-    /// So do those that fail a share of their calls that their pool doesn't.
+    /// So do those that fail a larger share of their calls than their pool.
     #[prost(bool, tag = "7")]
     pub grey: bool,
-    /// So do those that took no connection a moment ago.
+    /// So do those that accepted no connection a moment ago.
     #[prost(bool, tag = "8")]
     pub unreachable: bool,
     /// Requests that crashed several upstreams are refused.
     #[prost(bool, tag = "9")]
     pub quarantine: bool,
-    /// A request that may run again is sent elsewhere when its answer stalls.
+    /// A request that may be repeated is sent to another upstream when its answer stalls.
     #[prost(bool, tag = "10")]
     pub ask_elsewhere: bool,
-    /// A stream that broke off goes on at another upstream. Off: it is cut.
+    /// A stream that broke off is continued at another upstream. Off: it is cut.
     #[prost(bool, tag = "11")]
     pub resume: bool,
-    /// Each router opens only its part of an upstream's connections.
+    /// Each router opens only its share of an upstream's connections.
     #[prost(bool, tag = "12")]
     pub connection_shares: bool,
 }
--- a/src/peers/client.rs
+++ b/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Requests and questions to other routers.
+//! Client for requests and questions to other routers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -34,20 +34,20 @@
 
 type Link = SendRequest<Full<Bytes>>;
 
-/// Why a question to a peer has no answer.
+/// Error of a question to a peer.
 #[derive(Debug, Snafu)]
-pub(crate) enum AskError {
+pub(crate) enum QuestionError {
     #[snafu(display("{source}"))]
     Encode { source: FrameError },
     #[snafu(display("{source}"))]
     Request { source: http::Error },
     #[snafu(display("{source}"))]
     Connect { source: ConnectError },
-    #[snafu(display("peer broke off: {source}"))]
+    #[snafu(display("connection to the peer lost: {source}"))]
     Lost { source: hyper::Error },
     #[snafu(display("peer answered {status}"))]
     Status { status: StatusCode },
-    #[snafu(display("peer didn't answer in time"))]
+    #[snafu(display("peer did not answer within 1 s"))]
     TimedOut,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Passes `forward` to the router at `addr`.
+    /// Forwards a request to the router at `addr` and returns the frames of the answer.
     pub(crate) async fn forward(&self, addr: &Name, forward: &Forward) -> Frames {
         let (tx, rx) = mpsc::channel(CHANNEL);
         let this = self.clone();
@@ -76,7 +76,7 @@
         let forward = forward.clone();
         compio::runtime::spawn(async move {
             if let Err(refused) = this.exchange(&addr, &forward, &tx).await {
-                // The caller may have gone: then nobody needs the refusal.
+                // If the caller has disconnected, the refusal isn't needed.
                 let _ = tx.send(Body::Refused(refused)).await;
             }
         })
@@ -102,7 +102,10 @@
             .map_err(|e| refuse::not_run(Cause::HomeUnreachable, 0, format!("home {addr}: {e}")))?;
         let lost = |e: &dyn std::fmt::Display| {
             let refusal = Refusal::unknown(Cause::UpstreamFailed);
-            refuse::message(&refusal, format!("home {addr} broke off: {e}"))
+            refuse::message(
+                &refusal,
+                format!("connection to home {addr} lost before the end of the answer: {e}"),
+            )
         };
         let response = link.send_request(request).await.map_err(|e| lost(&e))?;
         if response.status() != StatusCode::OK {
@@ -113,13 +116,13 @@
         ended.map_err(|e| lost(&e))
     }
 
-    /// Asks the router at `addr` one question and waits for its answer.
+    /// Sends a question to the router at `addr` and waits for the answer.
     pub(crate) async fn ask<Q, A>(
         &self,
         addr: &Name,
         path: &'static str,
         question: &Q,
-    ) -> Result<A, AskError>
+    ) -> Result<A, QuestionError>
     where
         Q: Serialize,
         A: DeserializeOwned,
@@ -155,7 +158,7 @@
             return Ok(link);
         }
         let socket = addr.parse().map_err(|_| ConnectError::Refused {
-            source: io::Error::other("not an IP number and port"),
+            source: io::Error::other("peer address is not an IP address and port"),
         })?;
         let link = http2::connect(socket).await?;
         self.links.borrow_mut().insert(addr.clone(), link.clone());
@@ -163,7 +166,8 @@
     }
 }
 
-/// Passes frames on until the end mark; a frame of another request is never passed on.
+/// Passes frames on until the end frame. A frame of another request is an error and isn't passed
+/// on.
 async fn relay(
     mut body: Incoming,
     request_id: &str,
@@ -171,7 +175,7 @@
     tx: &mpsc::Sender<Body>,
 ) -> Result<(), String> {
     let mut decoder = Decoder::default();
-    while let Some(piece) = frame_wanted(&mut body, tx).await {
+    while let Some(piece) = next_piece(&mut body, tx).await {
         let piece = piece.map_err(|e| e.to_string())?;
         let Ok(data) = piece.into_data() else {
             continue;
@@ -179,7 +183,7 @@
         decoder.push(&data);
         while let Some(frame) = decoder.next::<Frame>().map_err(|e| e.to_string())? {
             if frame.request_id != request_id {
-                return Err("a frame of another request".to_owned());
+                return Err("received a frame of another request".to_owned());
             }
             events.observe(frame.stamp.as_ref());
             let Some(body) = frame.body else { continue };
@@ -192,19 +196,19 @@
     if tx.is_closed() {
         return Ok(());
     }
-    Err("no end mark".to_owned())
+    Err("stream ended without an end frame".to_owned())
 }
 
-/// The next piece of a peer's answer, or nothing once nobody wants it: dropping the body then
-/// resets the h2 stream, which tells the home.
-async fn frame_wanted(
+/// Returns the next piece of a peer's answer, or `None` once the receiver is closed. Dropping the
+/// body then resets the HTTP/2 stream, which notifies the home.
+async fn next_piece(
     body: &mut Incoming,
     tx: &mpsc::Sender<Body>,
 ) -> Option<Result<hyper::body::Frame<Bytes>, hyper::Error>> {
     let next = body.frame();
-    let gone = tx.closed();
-    pin_mut!(next, gone);
-    match select(next, gone).await {
+    let closed = tx.closed();
+    pin_mut!(next, closed);
+    match select(next, closed).await {
         Either::Left((piece, _)) => piece,
         Either::Right(_) => None,
     }
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -1,25 +1,25 @@
-//! Peer frames on the wire: a length, then the frame encoded with bincode.
+//! Frames between routers: a length, followed by the message encoded with bincode.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// No frame is longer: a body of the largest accepted size, and its headers.
+/// Upper limit of a frame: a request body of the largest accepted size, with its headers.
 pub(crate) const MAX_FRAME_BYTES: usize = 16 << 20;
 
 const LENGTH_BYTES: usize = 4;
 
-/// Why a peer's bytes can't be read.
+/// Error of encoding or decoding a frame.
 #[derive(Debug, Snafu)]
 pub(crate) enum FrameError {
-    #[snafu(display("frame of {len} bytes is too long"))]
+    #[snafu(display("frame of {len} bytes exceeds the limit of 16 MiB"))]
     TooLong { len: usize },
-    #[snafu(display("frame can't be decoded: {detail}"))]
+    #[snafu(display("frame can't be encoded or decoded: {detail}"))]
     Malformed { detail: String },
 }
 
-/// Encodes one message, with its length before it.
+/// Encodes one message with its length in front.
 pub(crate) fn encode<T: Serialize>(message: &T) -> Result<Bytes, FrameError> {
     let payload = to_vec(message)?;
     let mut out = BytesMut::with_capacity(LENGTH_BYTES + payload.len());
@@ -45,7 +45,7 @@
         })
 }
 
-/// Collects bytes into messages.
+/// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub(crate) struct Decoder {
     pending: BytesMut,
--- a/src/peers/http2.rs
+++ b/src/peers/http2.rs
@@ -25,14 +25,14 @@
     }
 }
 
-/// Why no connection could be made; no byte of a request left.
+/// Error of opening a connection; no byte of a request has been sent.
 #[derive(Debug, Snafu)]
 pub(crate) enum ConnectError {
-    #[snafu(display("connection refused: {source}"))]
+    #[snafu(display("connecting failed: {source}"))]
     Refused { source: std::io::Error },
-    #[snafu(display("connection timed out"))]
+    #[snafu(display("connection not established within 500 ms"))]
     TimedOut,
-    #[snafu(display("handshake failed: {source}"))]
+    #[snafu(display("HTTP/2 handshake failed: {source}"))]
     Handshake { source: hyper::Error },
 }
 
@@ -55,7 +55,7 @@
         .context(HandshakeSnafu)?;
     compio::runtime::spawn(async move {
         if let Err(e) = conn.await {
-            log::debug!("peer connection ended: {e}");
+            log::debug!("connection to a peer ended with an error: {e}");
         }
     })
     .detach();
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Between routers: one h2 connection to each peer with one stream a request or question, and the
-//! datagrams of membership, loads and suspicions.
+//! Communication between routers: one HTTP/2 connection to each peer with one stream per request or
+//! question, and the datagrams of membership, loads and suspicions.
 
 mod client;
 pub(crate) mod frames;
@@ -18,7 +18,7 @@
 
 use crate::schema::peer::frame::Body;
 
-/// An answer as it comes in: a head, chunks and an end, or a refusal.
+/// An answer as it arrives: a head, chunks and an end, or a refusal.
 pub(crate) type Frames = mpsc::Receiver<Body>;
 
 pub(crate) const FORWARD: &str = "/forward";
@@ -29,10 +29,10 @@
 pub(crate) const DEMAND: &str = "/demand";
 pub(crate) const CONVICTED: &str = "/convicted";
 
-/// The kind of question that `path` stands for, as bytes are counted by it.
+/// Returns the label under which bytes of questions at `path` are counted.
 pub(crate) fn kind(path: &'static str) -> &'static str {
     path.trim_start_matches('/')
 }
 
-/// Frames that may wait between a stream and its task.
+/// Number of frames that may wait between a stream and its task.
 pub(crate) const CHANNEL: usize = 64;
--- a/src/peers/packed.rs
+++ b/src/peers/packed.rs
@@ -1,4 +1,4 @@
-//! Records on their way between routers, made smaller: a configuration is much the same line a thousand times.
+//! Compression of records sent between routers: the lines of a configuration are much alike.
 
 use std::io::{self, Read, Write};
 
@@ -7,23 +7,25 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// No record of the platform's log is longer, by far: what unpacks to more is refused.
+/// Far above the length of any record of the platform's log: longer output of [`unpack`] is
+/// refused.
 const MAX_BYTES: u64 = 16 << 20;
 
-/// Makes `record` smaller. A configuration of a thousand routes shrinks to some hundredths.
+/// Compresses `record`. A configuration of a thousand routes shrinks to a few hundredths of its
+/// size.
 pub(crate) fn pack(record: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(record)?;
     Ok(encoder.finish()?.into())
 }
 
-/// The record that [`pack`] made smaller.
+/// Decompresses the output of [`pack`].
 pub(crate) fn unpack(packed: &[u8]) -> io::Result<Bytes> {
     let mut record = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(MAX_BYTES + 1);
     decoder.read_to_end(&mut record)?;
     if record.len() as u64 > MAX_BYTES {
-        return Err(io::Error::other("longer than any record"));
+        return Err(io::Error::other("decompressed record exceeds 16 MiB"));
     }
     Ok(record.into())
 }
--- a/src/peers/packed_tests.rs
+++ b/src/peers/packed_tests.rs
@@ -1,9 +1,9 @@
 use super::packed::{pack, unpack};
 
-/// An operator adds 1,400 routes, and dozens of routers ask the first one that has them, over a link of 10 Mbit/s. Within the
-/// second that a question may take, forty must get it: 30 KB each.
+/// An operator adds 1,400 routes, and dozens of routers ask the first one that has them, over a
+/// link of 10 Mbit/s. Within the second that a question may take, forty must get them: 30 KB each.
 #[test]
-fn large_configuration_is_little_on_the_way() {
+fn large_configuration_compresses_well() {
     let route = |i: u32| {
         format!(
             r#"{{"name":"r-{i:x}","host":"h{i}.example","path_prefix":"/p{}/","type":"streaming","timeout_ms":12000,"target_latency_ms":800,"priority":1,"service":"s{}","max_attempts":1,"public":false,"session_affinity":true,"stream_resume":false,"target_gap_ms":400}}"#,
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn garbled_or_endless_records_are_refused() {
+fn malformed_or_oversized_records_are_refused() {
     assert!(unpack(b"no such thing").is_err());
-    let endless = pack(&vec![0; 17 << 20]).unwrap();
-    assert!(unpack(&endless).is_err());
+    let oversized = pack(&vec![0; 17 << 20]).unwrap();
+    assert!(unpack(&oversized).is_err());
 }
--- a/src/peers/probes/seal.rs
+++ b/src/peers/probes/auth.rs
@@ -1,20 +1,20 @@
-//! The keyed digest before each datagram.
+//! Authentication of datagrams by a keyed digest.
 
 use sha2::{Digest, Sha256};
 
 pub(super) const TAG_BYTES: usize = 8;
 
-/// Proves that a datagram was made by a router of the fleet.
+/// Computes and checks the digest that proves that a router of the fleet sent a datagram.
 ///
-/// Failure guarded against: a stray or forged datagram, after which live routers would be held for
-/// dead. Only holders of the fleet key can make the digest. A replayed datagram is old news, which
-/// incarnations and ages order.
+/// Failure guarded against: stray or forged datagrams by which live routers would be declared dead.
+/// Only routers with the fleet key can compute the digest. Incarnations and ages make a replayed
+/// datagram harmless.
 #[derive(Clone)]
-pub(super) struct Seal {
+pub(super) struct DatagramAuth {
     key: [u8; 32],
 }
 
-impl Seal {
+impl DatagramAuth {
     pub(super) fn new(fleet_key: &str) -> Self {
         let key = Sha256::digest(fleet_key.as_bytes()).into();
         Self { key }
@@ -31,13 +31,13 @@
         tag
     }
 
-    pub(super) fn close(&self, payload: &[u8]) -> Vec<u8> {
+    pub(super) fn sign(&self, payload: &[u8]) -> Vec<u8> {
         let mut out = self.tag(payload).to_vec();
         out.extend_from_slice(payload);
         out
     }
 
-    pub(super) fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
+    pub(super) fn verify<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
         let (tag, payload) = datagram.split_at_checked(TAG_BYTES)?;
         (tag == self.tag(payload)).then_some(payload)
     }
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -1,10 +1,11 @@
-//! The UDP task: it owns the membership, the loads and the suspicions, and carries them round.
+//! The membership task: it owns membership, loads and suspicions, and exchanges them with other
+//! routers over UDP.
 //!
-//! A router sends a fixed number of datagrams a second, each of bounded size, whatever the size of
-//! the fleet: its own probes, and answers to those of others, which come at the same rate.
+//! A router sends a fixed number of datagrams per second, each of bounded size, whatever the size
+//! of the fleet: its own probes, and answers to those of others, which arrive at the same rate.
 
+mod auth;
 mod pulse;
-mod seal;
 mod task;
 
 use std::collections::HashMap;
@@ -33,15 +34,15 @@
 use crate::stats;
 use crate::util::Clock;
 
+use auth::DatagramAuth;
 pub(crate) use pulse::Pulse;
-use seal::Seal;
 use task::Task;
 
-const RECEIVE_BYTES: usize = 2_048;
-/// Enough for a machine most of whose ports are taken.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
+/// Sufficient on a machine most of whose ports are taken.
 const FREE_PORT_TRIES: usize = 64;
 
-/// What the task starts from.
+/// Parameters of [`Probes::spawn`].
 pub(crate) struct Start {
     pub(crate) socket: UdpSocket,
     pub(crate) fleet_key: String,
@@ -52,7 +53,7 @@
     pub(crate) events: Events,
 }
 
-/// Handles to the running task.
+/// Handles to the running membership task.
 pub(crate) struct Probes {
     pub(crate) gossip: Gossip,
     pub(crate) view: watch::Receiver<Arc<View>>,
@@ -60,11 +61,11 @@
 }
 
 impl Probes {
-    /// Starts probing on the current runtime.
+    /// Starts the membership task on the current runtime.
     pub(crate) fn spawn(start: Start) -> Self {
         let (gossip, rx, heard) = Gossip::open();
-        let seal = Seal::new(&start.fleet_key);
-        let listener = listen(start.socket.clone(), seal.clone(), gossip.clone());
+        let auth = DatagramAuth::new(&start.fleet_key);
+        let listener = listen(start.socket.clone(), auth.clone(), gossip.clone());
         compio::runtime::spawn(listener).detach();
         let now_ms = start.clock.now_ms();
         let pulse = Pulse {
@@ -76,7 +77,7 @@
         let (publish, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
             socket: start.socket,
-            seal,
+            auth,
             swim,
             loads: LoadTable::default(),
             suspects: SuspectTable::default(),
@@ -102,28 +103,28 @@
     }
 }
 
-async fn listen(socket: UdpSocket, seal: Seal, gossip: Gossip) {
-    let mut buffer = Vec::with_capacity(RECEIVE_BYTES);
+async fn listen(socket: UdpSocket, auth: DatagramAuth, gossip: Gossip) {
+    let mut buffer = Vec::with_capacity(RECEIVE_BUFFER_BYTES);
     loop {
         buffer.clear();
         let BufResult(received, filled) = socket.recv_from(buffer).await;
         buffer = filled;
         match received {
-            Ok((_, from)) => match open(&seal, &buffer) {
+            Ok((_, from)) => match open(&auth, &buffer) {
                 Some(body) => {
                     count("received", &body, buffer.len());
                     gossip.note(Note::Datagram(from, Box::new(body)));
                 }
                 None => stats::stranger(),
             },
-            // An unreachable peer shows as an error of the socket; the probe's timeout handles it.
-            Err(e) => log::debug!("datagram not received: {e}"),
+            // An unreachable peer can cause an error on the socket; the probe's timeout handles it.
+            Err(e) => log::debug!("receiving a datagram failed: {e}"),
         }
     }
 }
 
-fn open(seal: &Seal, datagram: &[u8]) -> Option<Body> {
-    let payload = seal.open(datagram)?;
+fn open(auth: &DatagramAuth, datagram: &[u8]) -> Option<Body> {
+    let payload = auth.verify(datagram)?;
     let datagram: Datagram = frames::from_slice(payload).ok()?;
     datagram.body
 }
@@ -138,14 +139,14 @@
     stats::control_bytes(way, kind, bytes);
 }
 
-/// Binds the socket of the probes.
+/// Binds the UDP socket for probes.
 pub(crate) async fn bind(addr: SocketAddr) -> io::Result<UdpSocket> {
     let mut socket = UdpSocket::bind(addr).await?;
     if addr.port() != 0 {
         return Ok(socket);
     }
-    // A port that is free for UDP may hold an ended TCP connection, and streams need the same one:
-    // the router would not start.
+    // A port that is free for UDP may be occupied by an ended TCP connection. The streams need the
+    // same port, and without it the router would not start.
     for _ in 0..FREE_PORT_TRIES {
         if TcpListener::bind(socket.local_addr()?).await.is_ok() {
             break;
--- a/src/peers/probes/pulse.rs
+++ b/src/peers/probes/pulse.rs
@@ -1,9 +1,9 @@
-//! The guard against a router that slept.
+//! Guard against admitting work after a pause of the process.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Whether this router may take itself for a live home, as its membership task last found.
+/// Whether this router may act as a home, as of the last run of its membership task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pulse {
     pub(super) at_ms: Rc<Cell<u64>>,
@@ -12,11 +12,12 @@
 }
 
 impl Pulse {
-    /// Whether the membership task ran lately and holds this router for alive.
+    /// Whether the membership task ran recently and this router isn't in doubt.
     ///
-    /// Failure guarded against: a router that was stopped for seconds wakes with requests in its
-    /// sockets and admits them before its membership task had a turn, though its upstreams have
-    /// another home by now. The pulse is old until that task ran and put the router in doubt.
+    /// Failure guarded against: a router that was paused for seconds resumes with requests in its
+    /// sockets, and admits them before its membership task runs, though its upstreams have another
+    /// home by now. The time of the task's last run is too old until the task has run and put the
+    /// router in doubt.
     pub(crate) fn may_admit(&self, now_ms: u64) -> bool {
         !self.doubt.get() && now_ms.saturating_sub(self.at_ms.get()) <= self.limit_ms
     }
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -1,4 +1,4 @@
-//! What the task does with time, datagrams and what other tasks tell it.
+//! The membership task's handling of time, datagrams and inputs from other tasks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::event::{Events, Kind};
-use crate::fleet::flights::{FlightTable, MAX_TOLD};
-use crate::fleet::gossip::{ConfigHeard, Heard, Loads, MarkHeard, Note, Publish};
+use crate::fleet::flights::{FlightTable, PUBLISH_FANOUT};
+use crate::fleet::gossip::{AnnouncedConfig, GossipSenders, Loads, MarkHeard, Note, Publish};
 use crate::fleet::homes;
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::{self, LoadTable};
@@ -22,33 +22,34 @@
 use crate::fleet::swim::{Message, Out, Swim};
 use crate::log::view::ConfigView;
 use crate::peers::frames;
+use crate::peers::probes::auth::{DatagramAuth, TAG_BYTES};
 use crate::peers::probes::count;
 use crate::peers::probes::pulse::Pulse;
-use crate::peers::probes::seal::{Seal, TAG_BYTES};
 use crate::schema::peer::datagram::Body;
 use crate::schema::peer::{self, Ack, Datagram, Flight, Flights, NewsMark, Ping, Wish};
 use crate::stats;
 use crate::util::{Clock, Name};
 
-/// Four datagrams of this size a second stay under 2 KB/s with their IP and UDP headers.
+/// Four datagrams of this size per second stay under 2 KB/s with their IP and UDP headers.
 const MAX_DATAGRAM_BYTES: usize = 400;
-/// Fine enough for probe timeouts of 100 ms and more.
+/// Short enough for probe timeouts of 100 ms and more.
 const TICK: Duration = Duration::from_millis(50);
-/// What fits beside one another into [`MAX_DATAGRAM_BYTES`]; loads fill what is left.
+/// Entries that fit together into [`MAX_DATAGRAM_BYTES`]; loads fill the rest.
 const MAX_MEMBERS: usize = 2;
 const MAX_SUSPICIONS: usize = 4;
 const MAX_LEAVING: usize = 4;
 const MAX_LOADS: usize = 28;
-/// More changes of members at once are told as counts: a router that starts among 195 would write 390 lines, which
-/// took a host with an eighth of a core 60 ms before its first request.
-const MAX_CHANGES_TOLD: usize = 4;
-/// A suspicion is sent this many times by each router that hears it.
-const SUSPICION_TELLINGS: u32 = 12;
+/// Above this number, simultaneous member changes are reported as counts: a router that starts
+/// among 195 would write 390 lines, which took a host with an eighth of a core 60 ms before its
+/// first request.
+const MAX_LISTED_CHANGES: usize = 4;
+/// Number of times that each router sends a suspicion it received.
+const SUSPICION_SENDS: u32 = 12;
 
-/// What the task owns.
+/// State of the membership task.
 pub(super) struct Task {
     pub(super) socket: UdpSocket,
-    pub(super) seal: Seal,
+    pub(super) auth: DatagramAuth,
     pub(super) swim: Swim,
     pub(super) loads: LoadTable,
     pub(super) suspects: SuspectTable,
@@ -61,7 +62,7 @@
     pub(super) events: Events,
     pub(super) rng: SmallRng,
     pub(super) publish: watch::Sender<Arc<View>>,
-    pub(super) heard: Heard,
+    pub(super) heard: GossipSenders,
     pub(super) pulse: Pulse,
     pub(super) loads_changed: bool,
 }
@@ -120,7 +121,7 @@
                 self.loads_changed = true;
             }
             Note::Publish(Publish::Flights(flights, wishes, mark)) => {
-                self.tell_flights(flights, wishes, mark, now_ms).await;
+                self.publish_flights(flights, wishes, mark, now_ms).await;
             }
             Note::Publish(Publish::Suspicion(suspicion)) => self.suspect(&[suspicion], now_ms),
             Note::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
@@ -133,21 +134,22 @@
             }
             Note::Told(members) => self.swim.learn(members, now_ms),
             Note::Members(reply) => {
-                // The asker may have gone.
+                // The requester may have disconnected.
                 let _ = reply.send(self.swim.all());
             }
             Note::Leave => self.swim.leave(now_ms),
             Note::Goodbye(done) => {
-                let out = self.swim.goodbye(now_ms, &mut self.rng);
+                let out = self.swim.finish(now_ms, &mut self.rng);
                 self.send_all(out).await;
-                // The router may have given up waiting.
+                // The router may have stopped waiting.
                 let _ = done.send(());
             }
         }
     }
 
-    /// Tells the others what runs where. In a large fleet each telling goes to some, drawn anew.
-    async fn tell_flights(
+    /// Publishes the counts of running requests. In a large fleet each publication goes to random
+    /// routers.
+    async fn publish_flights(
         &mut self,
         flights: Vec<Flight>,
         wishes: Vec<Wish>,
@@ -157,8 +159,8 @@
         let view = self.publish.borrow().clone();
         let is_live = |m: &&Member| m.state != MemberState::Dead;
         let live = view.members.iter().filter(is_live).count();
-        let picture = self.flights.picture(live, now_ms);
-        self.heard.flights.send_replace(Arc::new(picture));
+        let fleet_counts = self.flights.fleet_counts(live, now_ms);
+        self.heard.flights.send_replace(Arc::new(fleet_counts));
         self.flights_seq += 1;
         let me = self.swim.me();
         let body = Body::Flights(Flights {
@@ -174,16 +176,16 @@
         }) else {
             return;
         };
-        let datagram = self.seal.close(&payload);
+        let datagram = self.auth.sign(&payload);
         let others = view.members.iter().filter(|m| m.host != me.host);
         let live = others.filter(is_live);
         let addrs = live.filter_map(|m| m.peer_addr.parse::<SocketAddr>().ok());
-        for addr in addrs.choose_multiple(&mut self.rng, MAX_TOLD) {
+        for addr in addrs.choose_multiple(&mut self.rng, PUBLISH_FANOUT) {
             count("sent", &body, datagram.len());
             let BufResult(sent, _) = self.socket.send_to(datagram.clone(), addr).await;
             if let Err(e) = sent {
-                // The next telling makes it good.
-                log::debug!("flights to {addr} not sent: {e}");
+                // The next publication makes up for it.
+                log::debug!("sending request counts to {addr} failed: {e}");
             }
         }
     }
@@ -202,13 +204,13 @@
                 let host = host.into();
                 (gossip, Message::Ack { seq, host })
             }
-            Body::Flights(mut told) => {
-                let mark = told.mark.take().unwrap_or_default();
-                let host = told.from_host.clone();
+            Body::Flights(mut counts) => {
+                let mark = counts.mark.take().unwrap_or_default();
+                let host = counts.from_host.clone();
                 self.heard
                     .marks
                     .send_replace(Arc::new(MarkHeard { host, mark }));
-                return self.flights.heard(told, now_ms);
+                return self.flights.heard(counts, now_ms);
             }
         };
         self.merge(gossip.unwrap_or_default(), now_ms);
@@ -226,21 +228,21 @@
         self.loads.merge(&gossip.loads, now_ms);
         self.loads_changed |= !gossip.loads.is_empty();
         self.suspect(&gossip.suspicions, now_ms);
-        self.hear_config(
+        self.record_config(
             &gossip.from_host,
             gossip.config_offset,
             gossip.config_digest,
         );
     }
 
-    fn suspect(&mut self, told: &[peer::Suspicion], now_ms: u64) {
-        if self.suspects.merge(told, now_ms) {
+    fn suspect(&mut self, received: &[peer::Suspicion], now_ms: u64) {
+        if self.suspects.merge(received, now_ms) {
             let all = self.suspects.all(now_ms);
             self.heard.suspicions.send_replace(Arc::new(all));
         }
     }
 
-    fn hear_config(&self, host: &str, offset: u64, digest: u64) {
+    fn record_config(&self, host: &str, offset: u64, digest: u64) {
         if offset <= self.heard.config.borrow().offset {
             return;
         }
@@ -249,7 +251,7 @@
             return;
         };
         let peer_addr = member.peer_addr.clone();
-        self.heard.config.send_replace(Arc::new(ConfigHeard {
+        self.heard.config.send_replace(Arc::new(AnnouncedConfig {
             offset,
             digest,
             peer_addr,
@@ -263,7 +265,7 @@
         self.view_changed();
     }
 
-    /// Publishes the view, and settles anew which upstreams this router is home to.
+    /// Publishes the view, and recomputes which upstreams this router is home to.
     fn view_changed(&mut self) {
         let config = self.config.borrow().clone();
         let mut view = self.swim.view();
@@ -276,7 +278,7 @@
                 member.state = MemberState::Leaving;
             }
         }
-        self.note_changes(&view);
+        self.report_changes(&view);
         let me = &self.swim.me().host;
         let upstreams = config.state.upstreams.iter();
         let own = upstreams
@@ -284,7 +286,7 @@
             .filter_map(|u| self.names.get(&loads::digest(&u.name)));
         self.loads.set_own(own);
         self.leaving
-            .keep_signals(|digest| self.loads.is_own(digest));
+            .retain_signals(|digest| self.loads.is_own(digest));
         view.leaving.clone_from(&self.publish.borrow().leaving);
         self.loads_changed = true;
         self.publish.send_replace(Arc::new(view));
@@ -305,7 +307,7 @@
             .send_modify(|view| Arc::make_mut(view).leaving = leaving);
     }
 
-    fn note_changes(&self, view: &View) {
+    fn report_changes(&self, view: &View) {
         let before = self.publish.borrow();
         let is_changed = |member: &&Member| {
             let was = before.get(&member.host).map(|m| (m.incarnation, m.state));
@@ -315,7 +317,7 @@
         for member in &changed {
             stats::member_changed(member.state.into());
         }
-        if changed.len() > MAX_CHANGES_TOLD {
+        if changed.len() > MAX_LISTED_CHANGES {
             let counts = counts_by_state(&changed);
             self.events.emit(Kind::MemberChanged, |e| e.detail = counts);
             return;
@@ -350,12 +352,12 @@
             gossip.loads.truncate(keep);
         };
         let Some((body, payload)) = body else { return };
-        let datagram = self.seal.close(&payload);
+        let datagram = self.auth.sign(&payload);
         count("sent", &body, datagram.len());
         let BufResult(sent, _) = self.socket.send_to(datagram, out.to).await;
         if let Err(e) = sent {
-            // As good as lost on the way: the probe's timeout handles it.
-            log::debug!("datagram to {} not sent: {e}", out.to);
+            // Equivalent to a lost datagram: the probe's timeout handles it.
+            log::debug!("sending a datagram to {} failed: {e}", out.to);
         }
     }
 
@@ -364,24 +366,24 @@
         let config = self.config.borrow();
         let me = self.swim.me();
         let (from_host, from_incarnation) = (me.host.to_string(), me.incarnation);
-        let rumours = self.swim.rumours(to, MAX_MEMBERS, &mut self.rng);
+        let updates = self.swim.rumours(to, MAX_MEMBERS, &mut self.rng);
         peer::Gossip {
             from_host,
             from_incarnation,
             config_offset: config.state.offset,
             config_digest: config.digest,
-            members: rumours.iter().map(peer::Member::from).collect(),
-            loads: self.loads.beats(MAX_LOADS, now_ms, &mut self.rng),
+            members: updates.iter().map(peer::Member::from).collect(),
+            loads: self.loads.sample(MAX_LOADS, now_ms, &mut self.rng),
             suspicions: self
                 .suspects
-                .rumours(MAX_SUSPICIONS, SUSPICION_TELLINGS, now_ms),
+                .updates_to_send(MAX_SUSPICIONS, SUSPICION_SENDS, now_ms),
             stamp: self.events.stamp(),
-            leaving: self.leaving.beats(MAX_LEAVING, now_ms, &mut self.rng),
+            leaving: self.leaving.sample(MAX_LEAVING, now_ms, &mut self.rng),
         }
     }
 }
 
-/// How many members came to which state, as "190 alive, 5 suspect".
+/// Counts the members by their new state, as in "190 alive, 5 suspect".
 fn counts_by_state(members: &[&Member]) -> String {
     let mut counts: BTreeMap<&'static str, usize> = BTreeMap::new();
     for member in members {
@@ -391,7 +393,7 @@
     counts.collect::<Vec<_>>().join(", ")
 }
 
-/// The least a load takes on the wire.
+/// Smallest encoded size of a load.
 const LOAD_BYTES: usize = 9;
 
 fn body(message: &Message, gossip: peer::Gossip) -> Body {
--- a/src/peers/refuse.rs
+++ b/src/peers/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals as routers hand them on to one another.
+//! Refusals in the form that routers send to one another.
 
 use tokio::sync::mpsc;
 
@@ -18,34 +18,34 @@
     }
 }
 
-/// A refusal with the usual words for its cause.
+/// Returns a refusal with the default text for its cause.
 pub(crate) fn explained(refusal: &Refusal) -> peer::Refusal {
-    message(refusal, words(refusal.cause))
+    message(refusal, default_detail(refusal.cause))
 }
 
-fn words(cause: Cause) -> &'static str {
+fn default_detail(cause: Cause) -> &'static str {
     match cause {
         Cause::Unauthorized => "no account has this key",
         Cause::AccountSuspended => "the account is suspended",
-        Cause::ConnectionLimit => "this router holds as many connections as it may",
+        Cause::ConnectionLimit => "this router is at its connection limit",
         Cause::BadRequest => "the request is malformed",
-        Cause::TooLarge => "body or headers exceed their bound",
-        Cause::TooSlow => "the request came too slowly",
+        Cause::TooLarge => "the body or the headers exceed the size limit",
+        Cause::TooSlow => "the request was received too slowly",
         Cause::UnknownService => "no service has this model or path",
-        Cause::AccountLimit => "the account's share is used up",
-        Cause::QueueFull => "as many requests wait as may",
+        Cause::AccountLimit => "the account has reached its rate or concurrency limit",
+        Cause::QueueFull => "the service's queue is full",
         Cause::Deadline => "the request can't be served before its deadline",
         Cause::Shed => "requests of this priority are shed while the service is overloaded",
-        Cause::OverBound => "the upstream carries as much as it may beside the others",
-        Cause::Full => "the upstream has no free slot; another has",
-        Cause::HomeUnreachable => "the router that admits work to the upstream can't be reached",
-        Cause::NoUpstream => "no upstream of the service takes work now",
+        Cause::OverBound => "the upstream has reached its load limit relative to its pool",
+        Cause::Full => "the upstream has no free slot, but another one has",
+        Cause::HomeUnreachable => "the upstream's home router can't be reached",
+        Cause::NoUpstream => "no upstream of the service accepts requests now",
         Cause::UpstreamFailed => "the upstream failed",
-        Cause::Quarantined => "the request is held to have crashed upstreams",
-        Cause::LogUnavailable => "the platform's log, which this request needs, can't be reached",
-        Cause::KeyTooOld => "the idempotency key is older than the log surely keeps",
-        Cause::StillRunning => "the same idempotency key is running now",
-        Cause::OutcomeUnknown => "the same idempotency key was tried, and its outcome isn't known",
+        Cause::Quarantined => "the request is quarantined: it is suspected of crashing upstreams",
+        Cause::LogUnavailable => "the platform's log, which this request needs, is unavailable",
+        Cause::KeyTooOld => "the idempotency key is older than the log's retention period",
+        Cause::StillRunning => "a request with the same idempotency key is still running",
+        Cause::OutcomeUnknown => "outcome of a request with the same idempotency key is unknown",
         Cause::Draining => "this router is stopping",
     }
 }
@@ -58,15 +58,15 @@
     message(&Refusal::not_run(cause, retry_after_ms), detail)
 }
 
-/// The refusal as a whole answer.
+/// Returns an answer that consists of the refusal alone.
 pub(crate) fn frames(refused: peer::Refusal) -> Frames {
     let (tx, rx) = mpsc::channel(1);
-    // There is room for one frame.
+    // The channel has capacity for one frame.
     let _ = tx.try_send(Body::Refused(refused));
     rx
 }
 
-/// Whether the refused request surely reached no upstream.
+/// Whether it is certain that the refused request reached no upstream.
 pub(crate) fn surely_not_run(refused: &peer::Refusal) -> bool {
     refused.run_state.parse() == Ok(RunState::NotRun)
 }
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of the streams between routers.
+//! Server for requests and questions of other routers.
 
 use std::convert::Infallible;
 use std::io;
@@ -26,13 +26,13 @@
 use crate::stats;
 use crate::util::Name;
 
-/// Answers other routers' questions.
+/// Handler of other routers' questions.
 pub(crate) trait Questions: Clone + 'static {
-    /// The answer to what came at `path`.
+    /// Answers the question received at `path`.
     fn answer(&self, path: &str, body: Incoming) -> impl Future<Output = Response<Answer>>;
 }
 
-/// Serves routers that know the fleet's `key` at `addr`.
+/// Listens at `addr` and serves routers that send the fleet's `key`.
 pub(crate) async fn bind<Q: Questions>(
     addr: SocketAddr,
     key: Name,
@@ -58,7 +58,7 @@
         let (key, drain, questions) = (key.clone(), drain.clone(), questions.clone());
         async move {
             let in_flight = drain.begin();
-            let response = if knows(&key, &request) {
+            let response = if is_authorized(&key, &request) {
                 let (parts, body) = request.into_parts();
                 questions.answer(parts.uri.path(), body).await
             } else {
@@ -72,18 +72,18 @@
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
     if let Err(e) = served {
-        log::debug!("peer connection ended: {e}");
+        log::debug!("connection from a peer ended with an error: {e}");
     }
 }
 
-/// Whether the asker has the fleet's key.
-fn knows(key: &str, request: &Request<Incoming>) -> bool {
+/// Whether the request carries the fleet's key.
+fn is_authorized(key: &str, request: &Request<Incoming>) -> bool {
     let given = request.headers().get(AUTHORIZATION);
     let given = given.map_or(&b""[..], HeaderValue::as_bytes);
     given.ct_eq(key.as_bytes()).into()
 }
 
-/// Decodes one question, asked on `path`, and encodes its answer.
+/// Decodes one question, received on `path`, and encodes its answer.
 pub(crate) async fn reply<Q, A>(
     path: &'static str,
     body: Incoming,
@@ -101,7 +101,7 @@
     let question = match frames::from_slice(&question) {
         Ok(question) => question,
         Err(e) => {
-            log::warn!("peer's question not understood: {e}");
+            log::warn!("question of a peer on {path} can't be decoded; answering 400: {e}");
             return status(StatusCode::BAD_REQUEST);
         }
     };
@@ -111,19 +111,19 @@
             Response::new(Answer::whole(bytes))
         }
         Err(e) => {
-            log::warn!("peer's question not answered: {e}");
+            log::warn!("answer to a peer on {path} can't be encoded; answering 500: {e}");
             status(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
 
-/// Everyone this router heard of.
+/// Returns all members that this router knows.
 pub(crate) async fn members(gossip: &Gossip, MembersAsk {}: MembersAsk) -> MembersGive {
     let (reply, members) = oneshot::channel();
     gossip.note(Note::Members(reply));
     let members = members
         .await
-        .inspect_err(|e| log::warn!("members not told: {e}"))
+        .inspect_err(|e| log::warn!("member list unavailable; answering an empty one: {e}"))
         .unwrap_or_default();
     MembersGive {
         members: members.iter().map(peer::Member::from).collect(),
