--- a/src/fleet/flights.rs
+++ b/src/fleet/flights.rs
@@ -16,7 +16,7 @@
 pub const COUNTS_TTL_MS: u64 = 1_500;
 
 /// Number of routers that each publication is sent to.
-pub const PUBLISH_FANOUT: usize = 16;
+pub const MAX_REPORTED: usize = 16;
 /// Interval between two publications of a router. The counts that others see are at most this old,
 /// plus the travel time of a datagram.
 pub const TELL_MS: u64 = 200;
@@ -25,7 +25,7 @@
 /// arrived within [`COUNTS_TTL_MS`].
 ///
 /// In a small fleet the counts of all others arrive; in a large one each publication goes to
-/// [`PUBLISH_FANOUT`] random routers, so only a part arrives in time.
+/// [`MAX_REPORTED`] random routers, so only a part arrives in time.
 ///
 /// ```
 /// use cassiagrade::fleet::flights::reachable;
@@ -43,7 +43,7 @@
 
 /// Number of `others` whose counts arrive within [`COUNTS_TTL_MS`] if all are alive.
 fn expected_received(others: usize) -> f64 {
-    let reached = PUBLISH_FANOUT.min(others) as f64 / others.max(1) as f64;
+    let reached = MAX_REPORTED.min(others) as f64 / others.max(1) as f64;
     let publications = COUNTS_TTL_MS as f64 / TELL_MS as f64;
     others as f64 * (1.0 - (1.0 - reached).powf(publications))
 }
@@ -68,7 +68,7 @@
 
 /// Counts of all other routers, summed up.
 #[derive(Clone, Debug, Default)]
-pub struct FleetCounts {
+pub struct FleetInFlight {
     /// By the digest of the upstream's name.
     pub upstreams: HashMap<u32, Told>,
     /// Number of requests each router runs or has waiting, by the digest of the service's name.
@@ -118,7 +118,7 @@
     /// Failure guarded against: in a large fleet the counts of only about half of the routers are
     /// present at a time. Without scaling, upstreams look half as loaded as they are, and each
     /// router takes twice its share of a full service's slots.
-    pub fn fleet_counts(&mut self, live: usize, now_ms: u64) -> FleetCounts {
+    pub fn fleet_counts(&mut self, live: usize, now_ms: u64) -> FleetInFlight {
         let mut upstreams = self.sums(now_ms);
         let heard = self.rows.len();
         let scale = (reachable(heard, live) - 1).max(heard) as f64 / heard.max(1) as f64;
@@ -136,7 +136,7 @@
             let all = (of_service.len() as f64 * scale).round() as usize;
             *of_service = of_service.iter().copied().cycle().take(all).collect();
         }
-        FleetCounts {
+        FleetInFlight {
             upstreams,
             wishes,
             heard,
--- a/src/fleet/flights_tests.rs
+++ b/src/fleet/flights_tests.rs
@@ -3,7 +3,7 @@
 use rand::seq::index::sample;
 use test_case::test_case;
 
-use super::flights::{COUNTS_TTL_MS, FlightTable, PUBLISH_FANOUT, TELL_MS};
+use super::flights::{COUNTS_TTL_MS, FlightTable, MAX_REPORTED, TELL_MS};
 use crate::schema::peer::{Flight, Flights, Wish};
 
 fn counts(host: &str, seq: u64, running: u32) -> Flights {
@@ -106,7 +106,7 @@
     for seq in 1..=50 {
         let now_ms = seq * TELL_MS;
         for from in 1..routers {
-            let to = sample(&mut rng, routers - 1, PUBLISH_FANOUT.min(routers - 1));
+            let to = sample(&mut rng, routers - 1, MAX_REPORTED.min(routers - 1));
             if to.iter().any(|to| to == 0) {
                 let wishes = vec![Wish {
                     service_digest: 3,
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::decide::PoolView;
-use crate::fleet::flights::FleetCounts;
+use crate::fleet::flights::FleetInFlight;
 use crate::fleet::member::Member;
 use crate::fleet::swim::Listed;
 use crate::schema::peer::{Flight, Load, NewsMark, Suspicion, Wish, datagram};
@@ -68,7 +68,7 @@
 
 /// The newest configuration that another router has announced.
 #[derive(Clone, Debug)]
-pub struct AnnouncedConfig {
+pub struct NewestConfig {
     /// Offset of the last configuration record applied.
     pub offset: u64,
     /// Digest of the state at that offset.
@@ -77,7 +77,7 @@
     pub peer_addr: Name,
 }
 
-impl Default for AnnouncedConfig {
+impl Default for NewestConfig {
     fn default() -> Self {
         Self {
             offset: 0,
@@ -101,8 +101,8 @@
 pub(crate) struct GossipSenders {
     pub(crate) loads: watch::Sender<Arc<Loads>>,
     pub(crate) suspicions: watch::Sender<Arc<Vec<Suspicion>>>,
-    pub(crate) config: watch::Sender<Arc<AnnouncedConfig>>,
-    pub(crate) flights: watch::Sender<Arc<FleetCounts>>,
+    pub(crate) config: watch::Sender<Arc<NewestConfig>>,
+    pub(crate) flights: watch::Sender<Arc<FleetInFlight>>,
     pub(crate) marks: watch::Sender<Arc<MarkHeard>>,
 }
 
@@ -131,8 +131,8 @@
     tx: mpsc::UnboundedSender<Note>,
     loads: watch::Receiver<Arc<Loads>>,
     suspicions: watch::Receiver<Arc<Vec<Suspicion>>>,
-    config: watch::Receiver<Arc<AnnouncedConfig>>,
-    flights: watch::Receiver<Arc<FleetCounts>>,
+    config: watch::Receiver<Arc<NewestConfig>>,
+    flights: watch::Receiver<Arc<FleetInFlight>>,
     marks: watch::Receiver<Arc<MarkHeard>>,
 }
 
@@ -140,7 +140,7 @@
     /// Creates a handle, and the channel ends that the membership task uses.
     pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<Note>, GossipSenders) {
         let (tx, rx) = mpsc::unbounded_channel();
-        let heard = GossipSenders {
+        let senders = GossipSenders {
             loads: watch::channel(Arc::default()).0,
             suspicions: watch::channel(Arc::default()).0,
             config: watch::channel(Arc::default()).0,
@@ -149,13 +149,13 @@
         };
         let gossip = Self {
             tx,
-            loads: heard.loads.subscribe(),
-            suspicions: heard.suspicions.subscribe(),
-            config: heard.config.subscribe(),
-            flights: heard.flights.subscribe(),
-            marks: heard.marks.subscribe(),
+            loads: senders.loads.subscribe(),
+            suspicions: senders.suspicions.subscribe(),
+            config: senders.config.subscribe(),
+            flights: senders.flights.subscribe(),
+            marks: senders.marks.subscribe(),
         };
-        (gossip, rx, heard)
+        (gossip, rx, senders)
     }
 
     /// Queues an update for the next datagrams.
@@ -179,7 +179,7 @@
     }
 
     /// Returns the other routers' counts of running requests and their demand.
-    pub fn flights(&self) -> Arc<FleetCounts> {
+    pub fn flights(&self) -> Arc<FleetInFlight> {
         self.flights.borrow().clone()
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// The newest configuration announced by any router.
-    pub fn config_heard(&self) -> watch::Receiver<Arc<AnnouncedConfig>> {
+    pub fn config_heard(&self) -> watch::Receiver<Arc<NewestConfig>> {
         self.config.clone()
     }
 }
--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -10,12 +10,12 @@
 use rand::seq::SliceRandom;
 
 use crate::fleet::loads::digest;
-use crate::schema::peer::LeavingEntry;
+use crate::schema::peer::LeavingUpdate;
 use crate::util::Name;
 
-/// An entry that no router has repeated for this long expires.
+/// An update that no router has repeated for this long expires.
 pub const LEAVING_TTL_MS: u64 = 10_000;
-/// Added to an age at each hop, as for loads, so that no entry looks younger for being passed on.
+/// Added to an age at each hop, as for loads, so that no update looks younger for being passed on.
 const HOP_MS: u64 = 5;
 
 /// Upstreams that are leaving, by source.
@@ -46,19 +46,19 @@
         self.signalled.retain(|digest| own(*digest));
     }
 
-    /// Merges entries that another router sent.
-    pub fn merge(&mut self, entries: &[LeavingEntry], now_ms: u64) {
-        for entry in entries {
-            let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms) + HOP_MS);
-            let known = self.heard.entry(entry.upstream_digest).or_insert(at_ms);
+    /// Merges updates that another router sent.
+    pub fn merge(&mut self, updates: &[LeavingUpdate], now_ms: u64) {
+        for update in updates {
+            let at_ms = now_ms.saturating_sub(u64::from(update.age_ms) + HOP_MS);
+            let known = self.heard.entry(update.upstream_digest).or_insert(at_ms);
             *known = at_ms.max(*known);
         }
         self.heard
             .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_TTL_MS);
     }
 
-    /// Returns at most `max` entries to send, in random order.
-    pub fn sample<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingEntry> {
+    /// Returns at most `max` updates to send, in random order.
+    pub fn sample<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingUpdate> {
         let own = self.own().map(|digest| (digest, 0));
         let mut ages: HashMap<u32, u64> = self
             .heard
@@ -67,17 +67,17 @@
             .filter(|(_, age_ms)| *age_ms < LEAVING_TTL_MS)
             .collect();
         ages.extend(own);
-        let mut entries: Vec<LeavingEntry> = ages
+        let mut updates: Vec<LeavingUpdate> = ages
             .into_iter()
-            .map(|(upstream_digest, age_ms)| LeavingEntry {
+            .map(|(upstream_digest, age_ms)| LeavingUpdate {
                 upstream_digest,
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             })
             .collect();
-        entries.sort_unstable_by_key(|entry| entry.upstream_digest);
-        entries.shuffle(rng);
-        entries.truncate(max);
-        entries
+        updates.sort_unstable_by_key(|update| update.upstream_digest);
+        updates.shuffle(rng);
+        updates.truncate(max);
+        updates
     }
 
     /// Returns the digests of all upstreams that take no new work now.
--- a/src/fleet/leaving_tests.rs
+++ b/src/fleet/leaving_tests.rs
@@ -27,7 +27,7 @@
     assert!(other.known(1_001).contains(&digest("engine-1")));
     set_leaving(&mut first, false);
     let mut now_ms = 1_001;
-    // Both go on exchanging what they received; this alone must not keep the entry alive.
+    // Both go on exchanging what they received; this alone must not keep the report alive.
     while now_ms < 1_001 + LEAVING_TTL_MS {
         now_ms += 100;
         first.merge(&other.sample(4, now_ms, &mut rng), now_ms);
--- a/src/fleet/loads.rs
+++ b/src/fleet/loads.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::schema::peer::{Load, LoadEntry};
+use crate::schema::peer::{Load, LoadUpdate};
 use crate::util::{self, Name};
 
 /// A load that has not been repeated for this long expires: its router has stopped or is no longer
@@ -23,14 +23,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    entry: LoadEntry,
+    update: LoadUpdate,
     at_ms: u64,
 }
 
 /// Loads received from other routers, and those of the upstreams this router is home to.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    own: HashMap<u32, LoadEntry>,
+    own: HashMap<u32, LoadUpdate>,
     heard: HashMap<u32, Row>,
 }
 
@@ -46,12 +46,12 @@
         let before = std::mem::take(&mut self.own);
         for name in names {
             let upstream_digest = digest(name);
-            let idle = LoadEntry {
+            let idle = LoadUpdate {
                 upstream_digest,
-                ..LoadEntry::default()
+                ..LoadUpdate::default()
             };
-            let entry = before.get(&upstream_digest).copied().unwrap_or(idle);
-            self.own.insert(upstream_digest, entry);
+            let update = before.get(&upstream_digest).copied().unwrap_or(idle);
+            self.own.insert(upstream_digest, update);
         }
     }
 
@@ -64,8 +64,8 @@
     /// another home now is ignored: that home publishes it.
     pub fn publish(&mut self, load: &Load) {
         let upstream_digest = digest(&load.upstream);
-        if let Some(entry) = self.own.get_mut(&upstream_digest) {
-            *entry = LoadEntry {
+        if let Some(update) = self.own.get_mut(&upstream_digest) {
+            *update = LoadUpdate {
                 upstream_digest,
                 work_ms: whole_ms(load.work_ms),
                 in_flight: load.in_flight,
@@ -76,18 +76,18 @@
     }
 
     /// Merges loads that are newer than the known ones.
-    pub fn merge(&mut self, entries: &[LoadEntry], now_ms: u64) {
-        for entry in entries {
-            let age_ms = u64::from(entry.age_ms) + HOP_MS;
+    pub fn merge(&mut self, updates: &[LoadUpdate], now_ms: u64) {
+        for update in updates {
+            let age_ms = u64::from(update.age_ms) + HOP_MS;
             if age_ms > LOAD_TTL_MS {
                 continue;
             }
             let at_ms = now_ms.saturating_sub(age_ms);
             let row = Row {
-                entry: *entry,
+                update: *update,
                 at_ms,
             };
-            let known = self.heard.entry(entry.upstream_digest).or_insert(row);
+            let known = self.heard.entry(update.upstream_digest).or_insert(row);
             if at_ms > known.at_ms {
                 *known = row;
             }
@@ -95,52 +95,52 @@
     }
 
     /// Returns at most `max` loads to send: all of this router's own, then others in random order.
-    pub fn sample<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadEntry> {
+    pub fn sample<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadUpdate> {
         self.heard
             .retain(|_, row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS);
-        let mut entries: Vec<LoadEntry> = self.own.values().copied().collect();
-        entries.shuffle(rng);
+        let mut updates: Vec<LoadUpdate> = self.own.values().copied().collect();
+        updates.shuffle(rng);
         let mut others: Vec<&Row> = self.heard.values().collect();
         let (others, _) = others.partial_shuffle(rng, max);
         for row in others {
-            if entries.len() >= max {
+            if updates.len() >= max {
                 break;
             }
-            if self.own.contains_key(&row.entry.upstream_digest) {
+            if self.own.contains_key(&row.update.upstream_digest) {
                 continue;
             }
             let age_ms = now_ms.saturating_sub(row.at_ms);
-            entries.push(LoadEntry {
+            updates.push(LoadUpdate {
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
-                ..row.entry
+                ..row.update
             });
         }
-        entries.truncate(max);
-        entries
+        updates.truncate(max);
+        updates
     }
 
     /// Returns the known loads by the upstreams' names; this router's own take precedence.
     pub fn known(&self, names: &HashMap<u32, Name>, now_ms: u64) -> HashMap<Name, Load> {
         let fresh = |row: &&Row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS;
         let heard = self.heard.values().filter(fresh);
-        let heard = heard.map(|row| (row.entry, row.at_ms));
-        let own = self.own.values().map(|entry| (*entry, now_ms));
+        let heard = heard.map(|row| (row.update, row.at_ms));
+        let own = self.own.values().map(|update| (*update, now_ms));
         heard
             .chain(own)
-            .filter_map(|(entry, at_ms)| {
-                let name = names.get(&entry.upstream_digest)?;
-                Some((name.clone(), load(name, &entry, at_ms)))
+            .filter_map(|(update, at_ms)| {
+                let name = names.get(&update.upstream_digest)?;
+                Some((name.clone(), load(name, &update, at_ms)))
             })
             .collect()
     }
 }
 
-fn load(name: &Name, entry: &LoadEntry, at_ms: u64) -> Load {
+fn load(name: &Name, update: &LoadUpdate, at_ms: u64) -> Load {
     Load {
         upstream: name.to_string(),
-        work_ms: f64::from(entry.work_ms),
-        in_flight: entry.in_flight,
-        queued: entry.queued,
+        work_ms: f64::from(update.work_ms),
+        in_flight: update.in_flight,
+        queued: update.queued,
         seq: at_ms,
     }
 }
--- a/src/fleet/loads_tests.rs
+++ b/src/fleet/loads_tests.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::gossip::Loads;
 use crate::fleet::loads::{LOAD_TTL_MS, LoadTable, digest};
-use crate::schema::peer::{Load, LoadEntry};
+use crate::schema::peer::{Load, LoadUpdate};
 use crate::util::Name;
 
 fn names(n: usize) -> Vec<Name> {
@@ -98,12 +98,12 @@
 fn load_of_dead_home_expires() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let entry = LoadEntry {
+    let update = LoadUpdate {
         upstream_digest: digest(&names[0]),
         work_ms: 7,
-        ..LoadEntry::default()
+        ..LoadUpdate::default()
     };
-    table.merge(&[entry], 1_000);
+    table.merge(&[update], 1_000);
     let digests = digests(&names);
     assert_eq!(table.known(&digests, 1_100).len(), 1);
     assert!(table.known(&digests, 1_100 + LOAD_TTL_MS).is_empty());
@@ -120,9 +120,9 @@
     table.publish(&load(&names[0], 50.0));
     table.set_own(names[1..].iter());
     table.publish(&load(&names[0], 40.0));
-    let entries = table.sample(10, 1_000, &mut rng);
+    let updates = table.sample(10, 1_000, &mut rng);
     assert!(
-        entries
+        updates
             .iter()
             .all(|b| b.upstream_digest == digest(&names[1]))
     );
@@ -134,14 +134,14 @@
 fn newest_load_wins() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let entry = |work_ms, age_ms| LoadEntry {
+    let update = |work_ms, age_ms| LoadUpdate {
         upstream_digest: digest(&names[0]),
         work_ms,
         age_ms,
-        ..LoadEntry::default()
+        ..LoadUpdate::default()
     };
-    table.merge(&[entry(9, 0)], 1_000);
-    table.merge(&[entry(5, 300)], 1_010);
+    table.merge(&[update(9, 0)], 1_000);
+    table.merge(&[update(5, 300)], 1_010);
     let known = table.known(&digests(&names), 1_020);
     assert!((known[&names[0]].work_ms - 9.0).abs() < 1e-9);
 }
--- a/src/fleet/news_tests.rs
+++ b/src/fleet/news_tests.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use test_case::test_case;
 
-use super::flights::{PUBLISH_FANOUT, TELL_MS};
+use super::flights::{MAX_REPORTED, TELL_MS};
 use super::news::{Backoff, Freshness, Pace, READERS, Role, read_due};
 
 const READ_CHECK_MS: u64 = 100;
@@ -88,7 +88,7 @@
                 continue;
             }
             let confirmed_ms = self.routers[from].fresh.confirmed_ms();
-            let receivers: Vec<usize> = sample(&mut self.rng, n, PUBLISH_FANOUT.min(n)).into_vec();
+            let receivers: Vec<usize> = sample(&mut self.rng, n, MAX_REPORTED.min(n)).into_vec();
             for to in receivers {
                 self.routers[to].fresh.confirm(confirmed_ms, &mut self.rng);
             }
--- a/src/fleet/swim/probing.rs
+++ b/src/fleet/swim/probing.rs
@@ -22,8 +22,8 @@
         let mut out = Vec::new();
         self.expire_probes(now_ms, rng, &mut out);
         self.expire_suspicions(now_ms);
-        let first: Vec<Name> = self.unconfirmed(rng);
-        for host in first {
+        let unconfirmed: Vec<Name> = self.unconfirmed(rng);
+        for host in unconfirmed {
             out.extend(self.probe(&host, now_ms));
         }
         if now_ms >= self.next_probe_ms {
@@ -130,16 +130,16 @@
 
     fn expire_suspicions(&mut self, now_ms: u64) {
         let limit_ms = self.suspicion_ms();
-        let over = |since: u64| now_ms.saturating_sub(since) >= limit_ms;
-        let given_up = |e: &Entry| match e.member.state {
-            MemberState::Suspect => over(e.since_ms),
-            MemberState::Leaving => e.silent_since_ms.is_some_and(over),
+        let is_over = |since: u64| now_ms.saturating_sub(since) >= limit_ms;
+        let is_expired = |e: &Entry| match e.member.state {
+            MemberState::Suspect => is_over(e.since_ms),
+            MemberState::Leaving => e.silent_since_ms.is_some_and(is_over),
             MemberState::Alive | MemberState::Dead => false,
         };
         let expired: Vec<(Name, u64)> = self
             .members
             .values()
-            .filter(|e| e.member.host != self.me && given_up(e))
+            .filter(|e| e.member.host != self.me && is_expired(e))
             .map(|e| (e.member.host.clone(), e.member.incarnation))
             .collect();
         for (host, incarnation) in expired {
@@ -197,14 +197,14 @@
     pub(super) fn random_members<R: Rng>(
         &self,
         n: usize,
-        but: Option<&Name>,
+        except: Option<&Name>,
         rng: &mut R,
     ) -> Vec<Name> {
         self.members
             .values()
             .filter(|e| e.is_live() && e.member.incarnation > 0)
             .map(|e| &e.member.host)
-            .filter(|h| **h != self.me && Some(*h) != but)
+            .filter(|h| **h != self.me && Some(*h) != except)
             .cloned()
             .choose_multiple(rng, n)
     }
--- a/src/gen/peer.rs
+++ b/src/gen/peer.rs
@@ -233,7 +233,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct LoadEntry {
+pub struct LoadUpdate {
     /// Digest of the upstream's name; every router knows the names from the configuration.
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
@@ -250,7 +250,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct LeavingEntry {
+pub struct LeavingUpdate {
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -271,13 +271,13 @@
     #[prost(message, repeated, tag = "5")]
     pub members: ::prost::alloc::vec::Vec<Member>,
     #[prost(message, repeated, tag = "6")]
-    pub loads: ::prost::alloc::vec::Vec<LoadEntry>,
+    pub loads: ::prost::alloc::vec::Vec<LoadUpdate>,
     #[prost(message, repeated, tag = "7")]
     pub suspicions: ::prost::alloc::vec::Vec<Suspicion>,
     #[prost(message, optional, tag = "8")]
     pub stamp: ::core::option::Option<Stamp>,
     #[prost(message, repeated, tag = "9")]
-    pub leaving: ::prost::alloc::vec::Vec<LeavingEntry>,
+    pub leaving: ::prost::alloc::vec::Vec<LeavingUpdate>,
 }
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -63,7 +63,7 @@
 impl Probes {
     /// Starts the membership task on the current runtime.
     pub(crate) fn spawn(start: Start) -> Self {
-        let (gossip, rx, heard) = Gossip::open();
+        let (gossip, rx, senders) = Gossip::open();
         let auth = DatagramAuth::new(&start.fleet_key);
         let listener = listen(start.socket.clone(), auth.clone(), gossip.clone());
         compio::runtime::spawn(listener).detach();
@@ -74,7 +74,7 @@
         };
         pulse.at_ms.set(now_ms);
         let swim = Swim::new(start.me, start.policy, now_ms);
-        let (publish, view) = watch::channel(Arc::new(swim.view()));
+        let (view_tx, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
             socket: start.socket,
             auth,
@@ -89,8 +89,8 @@
             clock: start.clock,
             events: start.events,
             rng: SmallRng::from_os_rng(),
-            publish,
-            heard,
+            view_tx,
+            senders,
             pulse: pulse.clone(),
             loads_changed: true,
         };
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::event::{Events, Kind};
-use crate::fleet::flights::{FlightTable, PUBLISH_FANOUT};
-use crate::fleet::gossip::{AnnouncedConfig, GossipSenders, Loads, MarkHeard, Note, Publish};
+use crate::fleet::flights::{FlightTable, MAX_REPORTED};
+use crate::fleet::gossip::{GossipSenders, Loads, MarkHeard, NewestConfig, Note, Publish};
 use crate::fleet::homes;
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::{self, LoadTable};
@@ -61,8 +61,8 @@
     pub(super) clock: Clock,
     pub(super) events: Events,
     pub(super) rng: SmallRng,
-    pub(super) publish: watch::Sender<Arc<View>>,
-    pub(super) heard: GossipSenders,
+    pub(super) view_tx: watch::Sender<Arc<View>>,
+    pub(super) senders: GossipSenders,
     pub(super) pulse: Pulse,
     pub(super) loads_changed: bool,
 }
@@ -93,7 +93,7 @@
             self.config_changed();
         }
         let leaving = self.leaving.known(now_ms);
-        if leaving != self.publish.borrow().leaving {
+        if leaving != self.view_tx.borrow().leaving {
             self.leaving_changed(leaving);
         }
         if self.swim.take_changed() {
@@ -104,7 +104,7 @@
         }
         if std::mem::take(&mut self.loads_changed) {
             let by_upstream = self.loads.known(&self.names, now_ms);
-            self.heard
+            self.senders
                 .loads
                 .send_replace(Arc::new(Loads { by_upstream }));
         }
@@ -156,11 +156,11 @@
         mark: NewsMark,
         now_ms: u64,
     ) {
-        let view = self.publish.borrow().clone();
+        let view = self.view_tx.borrow().clone();
         let is_live = |m: &&Member| m.state != MemberState::Dead;
         let live = view.members.iter().filter(is_live).count();
         let fleet_counts = self.flights.fleet_counts(live, now_ms);
-        self.heard.flights.send_replace(Arc::new(fleet_counts));
+        self.senders.flights.send_replace(Arc::new(fleet_counts));
         self.flights_seq += 1;
         let me = self.swim.me();
         let body = Body::Flights(Flights {
@@ -180,7 +180,7 @@
         let others = view.members.iter().filter(|m| m.host != me.host);
         let live = others.filter(is_live);
         let addrs = live.filter_map(|m| m.peer_addr.parse::<SocketAddr>().ok());
-        for addr in addrs.choose_multiple(&mut self.rng, PUBLISH_FANOUT) {
+        for addr in addrs.choose_multiple(&mut self.rng, MAX_REPORTED) {
             count("sent", &body, datagram.len());
             let BufResult(sent, _) = self.socket.send_to(datagram.clone(), addr).await;
             if let Err(e) = sent {
@@ -207,7 +207,7 @@
             Body::Flights(mut counts) => {
                 let mark = counts.mark.take().unwrap_or_default();
                 let host = counts.from_host.clone();
-                self.heard
+                self.senders
                     .marks
                     .send_replace(Arc::new(MarkHeard { host, mark }));
                 return self.flights.heard(counts, now_ms);
@@ -238,20 +238,20 @@
     fn suspect(&mut self, received: &[peer::Suspicion], now_ms: u64) {
         if self.suspects.merge(received, now_ms) {
             let all = self.suspects.all(now_ms);
-            self.heard.suspicions.send_replace(Arc::new(all));
+            self.senders.suspicions.send_replace(Arc::new(all));
         }
     }
 
     fn record_config(&self, host: &str, offset: u64, digest: u64) {
-        if offset <= self.heard.config.borrow().offset {
+        if offset <= self.senders.config.borrow().offset {
             return;
         }
-        let view = self.publish.borrow();
+        let view = self.view_tx.borrow();
         let Some(member) = view.get(host) else {
             return;
         };
         let peer_addr = member.peer_addr.clone();
-        self.heard.config.send_replace(Arc::new(AnnouncedConfig {
+        self.senders.config.send_replace(Arc::new(NewestConfig {
             offset,
             digest,
             peer_addr,
@@ -287,9 +287,9 @@
         self.loads.set_own(own);
         self.leaving
             .retain_signals(|digest| self.loads.is_own(digest));
-        view.leaving.clone_from(&self.publish.borrow().leaving);
+        view.leaving.clone_from(&self.view_tx.borrow().leaving);
         self.loads_changed = true;
-        self.publish.send_replace(Arc::new(view));
+        self.view_tx.send_replace(Arc::new(view));
     }
 
     fn leaving_changed(&self, leaving: HashSet<u32>) {
@@ -298,20 +298,20 @@
             .iter()
             .filter(|(digest, _)| leaving.contains(digest))
         {
-            if !self.publish.borrow().leaving.contains(name.0) {
+            if !self.view_tx.borrow().leaving.contains(name.0) {
                 self.events
                     .emit(Kind::UpstreamLeaving, |e| e.upstream = name.1.to_string());
             }
         }
-        self.publish
+        self.view_tx
             .send_modify(|view| Arc::make_mut(view).leaving = leaving);
     }
 
     fn report_changes(&self, view: &View) {
-        let before = self.publish.borrow();
+        let before = self.view_tx.borrow();
         let is_changed = |member: &&Member| {
-            let was = before.get(&member.host).map(|m| (m.incarnation, m.state));
-            was != Some((member.incarnation, member.state))
+            let known = before.get(&member.host).map(|m| (m.incarnation, m.state));
+            known != Some((member.incarnation, member.state))
         };
         let changed: Vec<&Member> = view.members.iter().filter(is_changed).collect();
         for member in &changed {
