--- a/src/fleet/flights_tests.rs
+++ b/src/fleet/flights_tests.rs
@@ -3,18 +3,18 @@
 use rand::seq::index::sample;
 use test_case::test_case;
 
-use super::flights::{COUNTS_TTL_MS, FlightTable, MAX_REPORTED, TELL_MS};
-use crate::schema::peer::{Flight, Flights, Wish};
+use super::in_flight::{COUNTS_TTL_MS, InFlightTable, MAX_REPORTED, REPORT_INTERVAL_MS};
+use crate::schema::peer::{InFlightCount, InFlightReport, ServiceDemand};
 
-fn counts(host: &str, seq: u64, running: u32) -> Flights {
-    Flights {
+fn counts(host: &str, seq: u64, running: u32) -> InFlightReport {
+    InFlightReport {
         from_host: host.to_owned(),
         from_incarnation: 1,
         seq,
-        flights: vec![Flight {
+        flights: vec![InFlightCount {
             upstream_digest: 9,
             running,
-            ..Flight::default()
+            ..InFlightCount::default()
         }],
         mark: None,
         wishes: Vec::new(),
@@ -25,7 +25,7 @@
 /// send on.
 #[test]
 fn counts_of_all_routers_add_up() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(counts("a", 1, 2), 0);
     table.heard(counts("b", 1, 3), 0);
     assert_eq!(table.fleet_counts(3, 1).upstreams[&9].running, 5.0);
@@ -34,7 +34,7 @@
 /// A datagram arrives before an older one. Storing the older count would show load that has ended.
 #[test]
 fn late_datagram_changes_nothing() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(counts("a", 2, 1), 0);
     table.heard(counts("a", 1, 50), 1);
     assert_eq!(table.fleet_counts(2, 2).upstreams[&9].running, 1.0);
@@ -44,7 +44,7 @@
 /// counted.
 #[test]
 fn counts_of_dead_router_expire() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(counts("a", 1, 4), 0);
     assert!(table.fleet_counts(2, COUNTS_TTL_MS).upstreams.is_empty());
 }
@@ -53,9 +53,9 @@
 /// fails. A duplicate datagram must not count twice.
 #[test]
 fn outcomes_of_all_routers_add_up() {
-    let mut table = FlightTable::default();
-    let counts = |host: &str, failed| Flights {
-        flights: vec![Flight {
+    let mut table = InFlightTable::default();
+    let counts = |host: &str, failed| InFlightReport {
+        flights: vec![InFlightCount {
             upstream_digest: 9,
             running: 0,
             ended: 4,
@@ -75,12 +75,12 @@
 /// demand. A dead router has no demand.
 #[test]
 fn demand_of_live_routers_is_known() {
-    let mut table = FlightTable::default();
-    let wish = |wanted| Wish {
+    let mut table = InFlightTable::default();
+    let wish = |wanted| ServiceDemand {
         service_digest: 3,
         wanted,
     };
-    let counts = |host: &str, wanted| Flights {
+    let counts = |host: &str, wanted| InFlightReport {
         wishes: vec![wish(wanted)],
         ..counts(host, 1, 0)
     };
@@ -101,19 +101,19 @@
 #[test_case(390; "a very large fleet")]
 fn sums_are_scaled_to_the_whole_fleet(routers: usize) {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     let (mut sums, mut wanted) = (Vec::new(), Vec::new());
     for seq in 1..=50 {
-        let now_ms = seq * TELL_MS;
+        let now_ms = seq * REPORT_INTERVAL_MS;
         for from in 1..routers {
             let to = sample(&mut rng, routers - 1, MAX_REPORTED.min(routers - 1));
             if to.iter().any(|to| to == 0) {
-                let wishes = vec![Wish {
+                let wishes = vec![ServiceDemand {
                     service_digest: 3,
                     wanted: 7,
                 }];
                 let counts = counts(&format!("router-{from}"), seq, 2);
-                table.heard(Flights { wishes, ..counts }, now_ms);
+                table.heard(InFlightReport { wishes, ..counts }, now_ms);
             }
         }
         if now_ms >= COUNTS_TTL_MS {
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -12,10 +12,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::decide::PoolView;
-use crate::fleet::flights::FleetInFlight;
+use crate::fleet::in_flight::FleetInFlight;
 use crate::fleet::member::Member;
 use crate::fleet::swim::Listed;
-use crate::schema::peer::{Flight, Load, NewsMark, Suspicion, Wish, datagram};
+use crate::schema::peer::{InFlightCount, Load, LogPosition, ServiceDemand, Suspicion, datagram};
 use crate::util::Name;
 
 /// The latest known load of each upstream.
@@ -56,7 +56,7 @@
     Suspicion(Suspicion),
     /// Requests that this router runs at each upstream, its demand for each service, and the
     /// versions of its state.
-    Flights(Vec<Flight>, Vec<Wish>, NewsMark),
+    InFlight(Vec<InFlightCount>, Vec<ServiceDemand>, LogPosition),
     /// An upstream reported to this router, its home, whether it is leaving.
     UpstreamLeaving {
         /// Name of the upstream.
@@ -89,11 +89,11 @@
 
 /// Versions that another router announced.
 #[derive(Clone, Debug, Default)]
-pub struct MarkHeard {
+pub struct PeerPosition {
     /// Name of that router; empty before the first announcement.
     pub host: String,
     /// Versions of its state.
-    pub mark: NewsMark,
+    pub position: LogPosition,
 }
 
 /// Channels on which the membership task publishes what it receives.
@@ -103,12 +103,12 @@
     pub(crate) suspicions: watch::Sender<Arc<Vec<Suspicion>>>,
     pub(crate) config: watch::Sender<Arc<NewestConfig>>,
     pub(crate) flights: watch::Sender<Arc<FleetInFlight>>,
-    pub(crate) marks: watch::Sender<Arc<MarkHeard>>,
+    pub(crate) peer_positions: watch::Sender<Arc<PeerPosition>>,
 }
 
 /// Inputs of the membership task.
 #[derive(Debug)]
-pub(crate) enum Note {
+pub(crate) enum GossipCommand {
     /// Another task publishes an update.
     Publish(Publish),
     /// An authenticated datagram arrived.
@@ -116,7 +116,7 @@
     /// The platform's host list was read: routers, and upstreams that are leaving.
     Listed(Vec<Listed>, Vec<Name>),
     /// A peer answered with all members it knows.
-    Told(Vec<Member>),
+    MembersReceived(Vec<Member>),
     /// A peer asks for all known members.
     Members(oneshot::Sender<Vec<Member>>),
     /// This router begins a planned stop.
@@ -128,24 +128,24 @@
 /// A handle to the state exchanged by gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    tx: mpsc::UnboundedSender<Note>,
+    tx: mpsc::UnboundedSender<GossipCommand>,
     loads: watch::Receiver<Arc<Loads>>,
     suspicions: watch::Receiver<Arc<Vec<Suspicion>>>,
     config: watch::Receiver<Arc<NewestConfig>>,
     flights: watch::Receiver<Arc<FleetInFlight>>,
-    marks: watch::Receiver<Arc<MarkHeard>>,
+    peer_positions: watch::Receiver<Arc<PeerPosition>>,
 }
 
 impl Gossip {
     /// Creates a handle, and the channel ends that the membership task uses.
-    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<Note>, GossipSenders) {
+    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<GossipCommand>, GossipSenders) {
         let (tx, rx) = mpsc::unbounded_channel();
         let senders = GossipSenders {
             loads: watch::channel(Arc::default()).0,
             suspicions: watch::channel(Arc::default()).0,
             config: watch::channel(Arc::default()).0,
             flights: watch::channel(Arc::default()).0,
-            marks: watch::channel(Arc::default()).0,
+            peer_positions: watch::channel(Arc::default()).0,
         };
         let gossip = Self {
             tx,
@@ -153,19 +153,19 @@
             suspicions: senders.suspicions.subscribe(),
             config: senders.config.subscribe(),
             flights: senders.flights.subscribe(),
-            marks: senders.marks.subscribe(),
+            peer_positions: senders.peer_positions.subscribe(),
         };
         (gossip, rx, senders)
     }
 
     /// Queues an update for the next datagrams.
     pub fn publish(&self, publish: Publish) {
-        self.note(Note::Publish(publish));
+        self.send(GossipCommand::Publish(publish));
     }
 
-    pub(crate) fn note(&self, note: Note) {
+    pub(crate) fn send(&self, command: GossipCommand) {
         // The task ends only with the router.
-        let _ = self.tx.send(note);
+        let _ = self.tx.send(command);
     }
 
     /// Returns the latest loads.
@@ -179,17 +179,17 @@
     }
 
     /// Returns the other routers' counts of running requests and their demand.
-    pub fn flights(&self) -> Arc<FleetInFlight> {
+    pub fn in_flight(&self) -> Arc<FleetInFlight> {
         self.flights.borrow().clone()
     }
 
     /// The versions that arrived last; successive values may be from different routers.
-    pub fn marks(&self) -> watch::Receiver<Arc<MarkHeard>> {
-        self.marks.clone()
+    pub fn peer_positions(&self) -> watch::Receiver<Arc<PeerPosition>> {
+        self.peer_positions.clone()
     }
 
     /// The newest configuration announced by any router.
-    pub fn config_heard(&self) -> watch::Receiver<Arc<NewestConfig>> {
+    pub fn newest_config(&self) -> watch::Receiver<Arc<NewestConfig>> {
         self.config.clone()
     }
 }
--- a/src/fleet/roster.rs
+++ b/src/fleet/host_list.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use tokio::sync::watch;
 
-use crate::fleet::gossip::{Gossip, Note};
+use crate::fleet::gossip::{Gossip, GossipCommand};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::fleet::swim::Listed;
 use crate::log::platform::{HostKind, ListedHost, Platform};
@@ -50,7 +50,7 @@
                 let routers = routers.into_iter().map(listed).collect();
                 let leaving = upstreams.into_iter().filter(|host| host.leaving);
                 let leaving = leaving.map(|host| host.name.into()).collect();
-                gossip.note(Note::Listed(routers, leaving));
+                gossip.send(GossipCommand::Listed(routers, leaving));
             }
             Err(e) => log::warn!(
                 "reading the platform's host list failed; retrying at the next poll: {e}"
--- a/src/fleet/flights.rs
+++ b/src/fleet/in_flight.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use crate::decide::grey::Outcomes;
-use crate::schema::peer::{Flights, Wish};
+use crate::schema::peer::{InFlightReport, ServiceDemand};
 use crate::util::Name;
 
 /// A router's counts expire after this time: it has stopped or is cut off. Several times the
@@ -19,7 +19,7 @@
 pub const MAX_REPORTED: usize = 16;
 /// Interval between two publications of a router. The counts that others see are at most this old,
 /// plus the travel time of a datagram.
-pub const TELL_MS: u64 = 200;
+pub const REPORT_INTERVAL_MS: u64 = 200;
 
 /// Estimates how many of `live` routers can reach this one, given that counts of `heard` others
 /// arrived within [`COUNTS_TTL_MS`].
@@ -28,7 +28,7 @@
 /// [`MAX_REPORTED`] random routers, so only a part arrives in time.
 ///
 /// ```
-/// use cassiagrade::fleet::flights::reachable;
+/// use cassiagrade::fleet::in_flight::reachable;
 /// assert_eq!(reachable(8, 9), 9);
 /// assert_eq!(reachable(0, 195), 1);
 /// // Of 195, about 92 arrive before they expire; half of that means half of the fleet.
@@ -44,7 +44,7 @@
 /// Number of `others` whose counts arrive within [`COUNTS_TTL_MS`] if all are alive.
 fn expected_received(others: usize) -> f64 {
     let reached = MAX_REPORTED.min(others) as f64 / others.max(1) as f64;
-    let publications = COUNTS_TTL_MS as f64 / TELL_MS as f64;
+    let publications = COUNTS_TTL_MS as f64 / REPORT_INTERVAL_MS as f64;
     others as f64 * (1.0 - (1.0 - reached).powf(publications))
 }
 
@@ -54,12 +54,12 @@
     seq: u64,
     at_ms: u64,
     running: HashMap<u32, u32>,
-    wishes: Vec<Wish>,
+    wishes: Vec<ServiceDemand>,
 }
 
 /// Counts of the other routers for one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct UpstreamTotals {
     /// Requests that run there now, scaled up from the routers whose counts arrived.
     pub running: f64,
     /// How the calls of the last seconds ended.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetInFlight {
     /// By the digest of the upstream's name.
-    pub upstreams: HashMap<u32, Told>,
+    pub upstreams: HashMap<u32, UpstreamTotals>,
     /// Number of requests each router runs or has waiting, by the digest of the service's name.
     /// Routers without any are left out.
     pub wishes: HashMap<u32, Vec<u32>>,
@@ -84,14 +84,14 @@
 
 /// Latest counts of each other router.
 #[derive(Debug, Default)]
-pub struct FlightTable {
+pub struct InFlightTable {
     rows: HashMap<Name, Row>,
     outcomes: HashMap<u32, Outcomes>,
 }
 
-impl FlightTable {
+impl InFlightTable {
     /// Stores the counts of a router unless newer ones of it have arrived.
-    pub fn heard(&mut self, received: Flights, now_ms: u64) {
+    pub fn heard(&mut self, received: InFlightReport, now_ms: u64) {
         let stamp = (received.from_incarnation, received.seq);
         let known = self.rows.get(&*received.from_host);
         if known.is_some_and(|row| (row.incarnation, row.seq) >= stamp) {
@@ -141,7 +141,7 @@
             wishes,
             heard,
             share: 1.0 / scale,
-            age_ms: self.mean_age_ms(now_ms) + TELL_MS as f64 / 2.0,
+            age_ms: self.mean_age_ms(now_ms) + REPORT_INTERVAL_MS as f64 / 2.0,
         }
     }
 
@@ -154,16 +154,17 @@
     }
 
     /// Sums over all routers whose counts have not expired, by the digest of the upstream's name.
-    fn sums(&mut self, now_ms: u64) -> HashMap<u32, Told> {
+    fn sums(&mut self, now_ms: u64) -> HashMap<u32, UpstreamTotals> {
         self.rows
             .retain(|_, row| now_ms.saturating_sub(row.at_ms) < COUNTS_TTL_MS);
-        self.outcomes.retain(|_, o| o.at(now_ms).is_told());
+        self.outcomes.retain(|_, o| o.at(now_ms).is_significant());
         let outcomes = self.outcomes.iter();
-        let with_outcomes = |outcomes: Outcomes| Told {
+        let with_outcomes = |outcomes: Outcomes| UpstreamTotals {
             outcomes: outcomes.at(now_ms),
-            ..Told::default()
+            ..UpstreamTotals::default()
         };
-        let mut sums: HashMap<u32, Told> = outcomes.map(|(d, o)| (*d, with_outcomes(*o))).collect();
+        let mut sums: HashMap<u32, UpstreamTotals> =
+            outcomes.map(|(d, o)| (*d, with_outcomes(*o))).collect();
         for (digest, running) in self.rows.values().flat_map(|row| &row.running) {
             sums.entry(*digest).or_default().running += f64::from(*running);
         }
--- a/src/gen/peer.rs
+++ b/src/gen/peer.rs
@@ -164,7 +164,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     #[prost(uint64, tag = "1")]
     pub have_offset: u64,
     #[prost(uint64, tag = "2")]
@@ -173,7 +173,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct ConfigGive {
+pub struct ConfigReply {
     #[prost(uint64, tag = "1")]
     pub digest: u64,
     /// Set when it is newer than the requester's.
@@ -307,7 +307,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct Flight {
+pub struct InFlightCount {
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -323,7 +323,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Flights {
+pub struct InFlightReport {
     #[prost(string, tag = "1")]
     pub from_host: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
@@ -332,17 +332,17 @@
     #[prost(uint64, tag = "3")]
     pub seq: u64,
     #[prost(message, repeated, tag = "4")]
-    pub flights: ::prost::alloc::vec::Vec<Flight>,
+    pub flights: ::prost::alloc::vec::Vec<InFlightCount>,
     #[prost(message, optional, tag = "5")]
-    pub mark: ::core::option::Option<NewsMark>,
+    pub mark: ::core::option::Option<LogPosition>,
     #[prost(message, repeated, tag = "6")]
-    pub wishes: ::prost::alloc::vec::Vec<Wish>,
+    pub wishes: ::prost::alloc::vec::Vec<ServiceDemand>,
 }
 /// Demand of one router for one service: the requests that run or wait there.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct Wish {
+pub struct ServiceDemand {
     #[prost(uint32, tag = "1")]
     pub service_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -353,7 +353,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsMark {
+pub struct LogPosition {
     #[prost(uint64, tag = "1")]
     pub config_version: u64,
     #[prost(uint32, tag = "2")]
@@ -371,7 +371,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsAsk {
+pub struct LogSyncRequest {
     #[prost(uint64, tag = "1")]
     pub config_version: u64,
     /// 0: all upstreams.
@@ -388,7 +388,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct UpstreamNews {
+pub struct UpstreamChange {
     #[prost(uint64, tag = "1")]
     pub at: u64,
     #[prost(string, tag = "2")]
@@ -401,12 +401,12 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsGive {
+pub struct LogSyncReply {
     /// The configuration, deflated; empty if the requester has it.
     #[prost(bytes = "vec", tag = "1")]
     #[serde(with = "serde_bytes")]
     pub config: ::prost::alloc::vec::Vec<u8>,
-    /// A list of the changed UpstreamNews, deflated; empty if nothing changed.
+    /// A list of the changed UpstreamChange, deflated; empty if nothing changed.
     #[prost(bytes = "vec", tag = "2")]
     #[serde(with = "serde_bytes")]
     pub changes: ::prost::alloc::vec::Vec<u8>,
@@ -415,7 +415,7 @@
     #[serde(with = "serde_bytes")]
     pub all_upstreams: ::prost::alloc::vec::Vec<u8>,
     #[prost(message, optional, tag = "4")]
-    pub mark: ::core::option::Option<NewsMark>,
+    pub mark: ::core::option::Option<LogPosition>,
     /// The evacuated data centres, if the mark's orders_at is beyond the requester's.
     #[prost(string, repeated, tag = "5")]
     pub evacuated: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
@@ -438,18 +438,18 @@
         #[prost(message, tag = "2")]
         Ack(super::Ack),
         #[prost(message, tag = "3")]
-        Flights(super::Flights),
+        Flights(super::InFlightReport),
     }
 }
 /// Requests all members that a router knows; sent by a router that starts.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct MembersAsk {}
+pub struct MembersRequest {}
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct MembersGive {
+pub struct MembersReply {
     #[prost(message, repeated, tag = "1")]
     pub members: ::prost::alloc::vec::Vec<Member>,
 }
@@ -497,7 +497,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct WarmAsk {
+pub struct WarmRequest {
     #[prost(uint64, tag = "1")]
     pub chat_key: u64,
     #[prost(string, tag = "2")]
@@ -508,7 +508,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct WarmGive {
+pub struct WarmReply {
     #[prost(string, tag = "1")]
     pub upstream: ::prost::alloc::string::String,
     #[prost(uint32, tag = "2")]
@@ -526,7 +526,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     #[prost(string, tag = "1")]
     pub key: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
@@ -547,7 +547,7 @@
     #[prost(message, repeated, tag = "2")]
     pub chats: ::prost::alloc::vec::Vec<WarmChat>,
     #[prost(message, repeated, tag = "3")]
-    pub answers: ::prost::alloc::vec::Vec<KeptAnswer>,
+    pub answers: ::prost::alloc::vec::Vec<StoredAnswer>,
 }
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -557,7 +557,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     #[prost(message, optional, tag = "1")]
     pub claim: ::core::option::Option<super::records::Claim>,
     /// The key's own time.
@@ -567,7 +567,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimGive {
+pub struct ClaimReply {
     #[prost(bool, tag = "1")]
     pub won: bool,
     /// Set when the key has another holder.
@@ -584,7 +584,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimNote {
+pub struct ClaimUpdate {
     #[prost(message, optional, tag = "1")]
     pub release: ::core::option::Option<super::records::Release>,
     #[prost(message, optional, tag = "2")]
--- a/src/peers/probes/pulse.rs
+++ b/src/peers/probes/liveness.rs
@@ -5,13 +5,13 @@
 
 /// Whether this router may act as a home, as of the last run of its membership task.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pulse {
+pub(crate) struct Liveness {
     pub(super) at_ms: Rc<Cell<u64>>,
     pub(super) doubt: Rc<Cell<bool>>,
     pub(super) limit_ms: u64,
 }
 
-impl Pulse {
+impl Liveness {
     /// Whether the membership task ran recently and this router isn't in doubt.
     ///
     /// Failure guarded against: a router that was paused for seconds resumes with requests in its
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -5,7 +5,7 @@
 //! of the fleet: its own probes, and answers to those of others, which arrive at the same rate.
 
 mod auth;
-mod pulse;
+mod liveness;
 mod task;
 
 use std::collections::HashMap;
@@ -20,8 +20,8 @@
 use tokio::sync::watch;
 
 use crate::event::Events;
-use crate::fleet::flights::FlightTable;
-use crate::fleet::gossip::{Gossip, Note};
+use crate::fleet::gossip::{Gossip, GossipCommand};
+use crate::fleet::in_flight::InFlightTable;
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::LoadTable;
 use crate::fleet::member::{Member, View};
@@ -35,7 +35,7 @@
 use crate::util::Clock;
 
 use auth::DatagramAuth;
-pub(crate) use pulse::Pulse;
+pub(crate) use liveness::Liveness;
 use task::Task;
 
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
@@ -57,7 +57,7 @@
 pub(crate) struct Probes {
     pub(crate) gossip: Gossip,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) pulse: Pulse,
+    pub(crate) liveness: Liveness,
 }
 
 impl Probes {
@@ -68,11 +68,11 @@
         let listener = listen(start.socket.clone(), auth.clone(), gossip.clone());
         compio::runtime::spawn(listener).detach();
         let now_ms = start.clock.now_ms();
-        let pulse = Pulse {
+        let liveness = Liveness {
             limit_ms: start.policy.suspicion_ms,
-            ..Pulse::default()
+            ..Liveness::default()
         };
-        pulse.at_ms.set(now_ms);
+        liveness.at_ms.set(now_ms);
         let swim = Swim::new(start.me, start.policy, now_ms);
         let (view_tx, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
@@ -82,7 +82,7 @@
             loads: LoadTable::default(),
             suspects: SuspectTable::default(),
             leaving: LeavingTable::default(),
-            flights: FlightTable::default(),
+            flights: InFlightTable::default(),
             flights_seq: 0,
             names: HashMap::new(),
             config: start.config,
@@ -91,14 +91,14 @@
             rng: SmallRng::from_os_rng(),
             view_tx,
             senders,
-            pulse: pulse.clone(),
+            liveness: liveness.clone(),
             loads_changed: true,
         };
         compio::runtime::spawn(task.run(rx)).detach();
         Self {
             gossip,
             view,
-            pulse,
+            liveness,
         }
     }
 }
@@ -113,7 +113,7 @@
             Ok((_, from)) => match open(&auth, &buffer) {
                 Some(body) => {
                     count("received", &body, buffer.len());
-                    gossip.note(Note::Datagram(from, Box::new(body)));
+                    gossip.send(GossipCommand::Datagram(from, Box::new(body)));
                 }
                 None => stats::stranger(),
             },
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -12,9 +12,11 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::event::{Events, Kind};
-use crate::fleet::flights::{FlightTable, MAX_REPORTED};
-use crate::fleet::gossip::{GossipSenders, Loads, MarkHeard, NewestConfig, Note, Publish};
+use crate::fleet::gossip::{
+    GossipCommand, GossipSenders, Loads, NewestConfig, PeerPosition, Publish,
+};
 use crate::fleet::homes;
+use crate::fleet::in_flight::{InFlightTable, MAX_REPORTED};
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::{self, LoadTable};
 use crate::fleet::member::{Member, MemberState, View};
@@ -24,9 +26,11 @@
 use crate::peers::frames;
 use crate::peers::probes::auth::{DatagramAuth, TAG_BYTES};
 use crate::peers::probes::count;
-use crate::peers::probes::pulse::Pulse;
+use crate::peers::probes::liveness::Liveness;
 use crate::schema::peer::datagram::Body;
-use crate::schema::peer::{self, Ack, Datagram, Flight, Flights, NewsMark, Ping, Wish};
+use crate::schema::peer::{
+    self, Ack, Datagram, InFlightCount, InFlightReport, LogPosition, Ping, ServiceDemand,
+};
 use crate::stats;
 use crate::util::{Clock, Name};
 
@@ -54,7 +58,7 @@
     pub(super) loads: LoadTable,
     pub(super) suspects: SuspectTable,
     pub(super) leaving: LeavingTable,
-    pub(super) flights: FlightTable,
+    pub(super) flights: InFlightTable,
     pub(super) flights_seq: u64,
     pub(super) names: HashMap<u32, Name>,
     pub(super) config: watch::Receiver<Arc<ConfigView>>,
@@ -63,12 +67,12 @@
     pub(super) rng: SmallRng,
     pub(super) view_tx: watch::Sender<Arc<View>>,
     pub(super) senders: GossipSenders,
-    pub(super) pulse: Pulse,
+    pub(super) liveness: Liveness,
     pub(super) loads_changed: bool,
 }
 
 impl Task {
-    pub(super) async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Note>) {
+    pub(super) async fn run(mut self, mut rx: mpsc::UnboundedReceiver<GossipCommand>) {
         self.config_changed();
         let mut next_tick_ms = 0;
         loop {
@@ -88,7 +92,7 @@
 
     async fn tick(&mut self, now_ms: u64) {
         let out = self.swim.tick(now_ms, &mut self.rng);
-        self.pulse.at_ms.set(now_ms);
+        self.liveness.at_ms.set(now_ms);
         if self.config.has_changed().unwrap_or(false) {
             self.config_changed();
         }
@@ -97,7 +101,7 @@
             self.leaving_changed(leaving);
         }
         if self.swim.take_changed() {
-            self.pulse
+            self.liveness
                 .doubt
                 .set(self.swim.in_doubt() || self.swim.replaced());
             self.view_changed();
@@ -111,34 +115,36 @@
         self.send_all(out).await;
     }
 
-    async fn handle(&mut self, note: Note) {
+    async fn handle(&mut self, note: GossipCommand) {
         let now_ms = self.clock.now_ms();
         match note {
-            Note::Publish(Publish::Loads(loads)) => {
+            GossipCommand::Publish(Publish::Loads(loads)) => {
                 for load in &loads {
                     self.loads.publish(load);
                 }
                 self.loads_changed = true;
             }
-            Note::Publish(Publish::Flights(flights, wishes, mark)) => {
+            GossipCommand::Publish(Publish::InFlight(flights, wishes, mark)) => {
                 self.publish_flights(flights, wishes, mark, now_ms).await;
             }
-            Note::Publish(Publish::Suspicion(suspicion)) => self.suspect(&[suspicion], now_ms),
-            Note::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
+            GossipCommand::Publish(Publish::Suspicion(suspicion)) => {
+                self.suspect(&[suspicion], now_ms)
+            }
+            GossipCommand::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
                 self.leaving.signalled(&upstream, leaving);
             }
-            Note::Datagram(from, body) => self.receive(from, *body, now_ms).await,
-            Note::Listed(hosts, leaving) => {
+            GossipCommand::Datagram(from, body) => self.receive(from, *body, now_ms).await,
+            GossipCommand::Listed(hosts, leaving) => {
                 self.swim.listed(hosts, now_ms);
                 self.leaving.listed(&leaving);
             }
-            Note::Told(members) => self.swim.learn(members, now_ms),
-            Note::Members(reply) => {
+            GossipCommand::MembersReceived(members) => self.swim.learn(members, now_ms),
+            GossipCommand::Members(reply) => {
                 // The requester may have disconnected.
                 let _ = reply.send(self.swim.all());
             }
-            Note::Leave => self.swim.leave(now_ms),
-            Note::Goodbye(done) => {
+            GossipCommand::Leave => self.swim.leave(now_ms),
+            GossipCommand::Goodbye(done) => {
                 let out = self.swim.finish(now_ms, &mut self.rng);
                 self.send_all(out).await;
                 // The router may have stopped waiting.
@@ -151,9 +157,9 @@
     /// routers.
     async fn publish_flights(
         &mut self,
-        flights: Vec<Flight>,
-        wishes: Vec<Wish>,
-        mark: NewsMark,
+        flights: Vec<InFlightCount>,
+        wishes: Vec<ServiceDemand>,
+        mark: LogPosition,
         now_ms: u64,
     ) {
         let view = self.view_tx.borrow().clone();
@@ -163,7 +169,7 @@
         self.senders.flights.send_replace(Arc::new(fleet_counts));
         self.flights_seq += 1;
         let me = self.swim.me();
-        let body = Body::Flights(Flights {
+        let body = Body::Flights(InFlightReport {
             from_host: me.host.to_string(),
             from_incarnation: me.incarnation,
             seq: self.flights_seq,
@@ -208,8 +214,11 @@
                 let mark = counts.mark.take().unwrap_or_default();
                 let host = counts.from_host.clone();
                 self.senders
-                    .marks
-                    .send_replace(Arc::new(MarkHeard { host, mark }));
+                    .peer_positions
+                    .send_replace(Arc::new(PeerPosition {
+                        host,
+                        position: mark,
+                    }));
                 return self.flights.heard(counts, now_ms);
             }
         };
@@ -270,8 +279,10 @@
         let config = self.config.borrow().clone();
         let mut view = self.swim.view();
         let drained = |host: &str| {
-            let marks = config.state.hosts.iter();
-            marks.into_iter().any(|m| m.draining && m.host == host)
+            let peer_positions = config.state.hosts.iter();
+            peer_positions
+                .into_iter()
+                .any(|m| m.draining && m.host == host)
         };
         for member in &mut view.members {
             if member.takes_work() && drained(&member.host) {
