--- a/src/fleet/flights_tests.rs
+++ b/src/fleet/flights_tests.rs
@@ -26,8 +26,8 @@
 #[test]
 fn counts_of_all_routers_add_up() {
     let mut table = InFlightTable::default();
-    table.heard(counts("a", 1, 2), 0);
-    table.heard(counts("b", 1, 3), 0);
+    table.record(counts("a", 1, 2), 0);
+    table.record(counts("b", 1, 3), 0);
     assert_eq!(table.fleet_counts(3, 1).upstreams[&9].running, 5.0);
 }
 
@@ -35,8 +35,8 @@
 #[test]
 fn late_datagram_changes_nothing() {
     let mut table = InFlightTable::default();
-    table.heard(counts("a", 2, 1), 0);
-    table.heard(counts("a", 1, 50), 1);
+    table.record(counts("a", 2, 1), 0);
+    table.record(counts("a", 1, 50), 1);
     assert_eq!(table.fleet_counts(2, 2).upstreams[&9].running, 1.0);
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn counts_of_dead_router_expire() {
     let mut table = InFlightTable::default();
-    table.heard(counts("a", 1, 4), 0);
+    table.record(counts("a", 1, 4), 0);
     assert!(table.fleet_counts(2, COUNTS_TTL_MS).upstreams.is_empty());
 }
 
@@ -63,9 +63,9 @@
         }],
         ..counts(host, 1, 0)
     };
-    table.heard(counts("a", 1), 0);
-    table.heard(counts("b", 2), 0);
-    table.heard(counts("b", 2), 0);
+    table.record(counts("a", 1), 0);
+    table.record(counts("b", 2), 0);
+    table.record(counts("b", 2), 0);
     let sums = table.fleet_counts(3, 0).upstreams;
     assert_eq!(sums[&9].outcomes.share(), 3.0 / 8.0);
     assert_eq!(sums[&9].running, 0.0);
@@ -76,20 +76,20 @@
 #[test]
 fn demand_of_live_routers_is_known() {
     let mut table = InFlightTable::default();
-    let wish = |wanted| ServiceDemand {
+    let demand = |wanted| ServiceDemand {
         service_digest: 3,
         wanted,
     };
     let counts = |host: &str, wanted| InFlightReport {
-        wishes: vec![wish(wanted)],
+        wishes: vec![demand(wanted)],
         ..counts(host, 1, 0)
     };
-    table.heard(counts("a", 40), 0);
-    table.heard(counts("b", 7), 1_000);
-    let mut wishes = table.fleet_counts(3, 1_000).wishes[&3].clone();
-    wishes.sort_unstable();
-    assert_eq!(wishes, [7, 40]);
-    assert_eq!(table.fleet_counts(2, COUNTS_TTL_MS).wishes[&3], [7]);
+    table.record(counts("a", 40), 0);
+    table.record(counts("b", 7), 1_000);
+    let mut demands = table.fleet_counts(3, 1_000).demands[&3].clone();
+    demands.sort_unstable();
+    assert_eq!(demands, [7, 40]);
+    assert_eq!(table.fleet_counts(2, COUNTS_TTL_MS).demands[&3], [7]);
 }
 
 /// Every router of a large fleet runs two requests at one upstream and wants seven of its service,
@@ -113,13 +113,13 @@
                     wanted: 7,
                 }];
                 let counts = counts(&format!("router-{from}"), seq, 2);
-                table.heard(InFlightReport { wishes, ..counts }, now_ms);
+                table.record(InFlightReport { wishes, ..counts }, now_ms);
             }
         }
         if now_ms >= COUNTS_TTL_MS {
             let fleet_counts = table.fleet_counts(routers, now_ms);
             sums.push(fleet_counts.upstreams[&9].running);
-            wanted.push(f64::from(fleet_counts.wishes[&3].iter().sum::<u32>()));
+            wanted.push(f64::from(fleet_counts.demands[&3].iter().sum::<u32>()));
         }
     }
     let others = (routers - 1) as f64;
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -102,7 +102,7 @@
     pub(crate) loads: watch::Sender<Arc<Loads>>,
     pub(crate) suspicions: watch::Sender<Arc<Vec<Suspicion>>>,
     pub(crate) config: watch::Sender<Arc<NewestConfig>>,
-    pub(crate) flights: watch::Sender<Arc<FleetInFlight>>,
+    pub(crate) in_flight: watch::Sender<Arc<FleetInFlight>>,
     pub(crate) peer_positions: watch::Sender<Arc<PeerPosition>>,
 }
 
@@ -122,7 +122,7 @@
     /// This router begins a planned stop.
     Leave,
     /// This router has stopped taking work; answered once the other routers have been notified.
-    Goodbye(oneshot::Sender<()>),
+    Finish(oneshot::Sender<()>),
 }
 
 /// A handle to the state exchanged by gossip.
@@ -132,7 +132,7 @@
     loads: watch::Receiver<Arc<Loads>>,
     suspicions: watch::Receiver<Arc<Vec<Suspicion>>>,
     config: watch::Receiver<Arc<NewestConfig>>,
-    flights: watch::Receiver<Arc<FleetInFlight>>,
+    in_flight: watch::Receiver<Arc<FleetInFlight>>,
     peer_positions: watch::Receiver<Arc<PeerPosition>>,
 }
 
@@ -144,7 +144,7 @@
             loads: watch::channel(Arc::default()).0,
             suspicions: watch::channel(Arc::default()).0,
             config: watch::channel(Arc::default()).0,
-            flights: watch::channel(Arc::default()).0,
+            in_flight: watch::channel(Arc::default()).0,
             peer_positions: watch::channel(Arc::default()).0,
         };
         let gossip = Self {
@@ -152,7 +152,7 @@
             loads: senders.loads.subscribe(),
             suspicions: senders.suspicions.subscribe(),
             config: senders.config.subscribe(),
-            flights: senders.flights.subscribe(),
+            in_flight: senders.in_flight.subscribe(),
             peer_positions: senders.peer_positions.subscribe(),
         };
         (gossip, rx, senders)
@@ -180,7 +180,7 @@
 
     /// Returns the other routers' counts of running requests and their demand.
     pub fn in_flight(&self) -> Arc<FleetInFlight> {
-        self.flights.borrow().clone()
+        self.in_flight.borrow().clone()
     }
 
     /// The versions that arrived last; successive values may be from different routers.
--- a/src/fleet/in_flight.rs
+++ b/src/fleet/in_flight.rs
@@ -21,7 +21,7 @@
 /// plus the travel time of a datagram.
 pub const REPORT_INTERVAL_MS: u64 = 200;
 
-/// Estimates how many of `live` routers can reach this one, given that counts of `heard` others
+/// Estimates how many of `live` routers can reach this one, given that counts of `reporting` others
 /// arrived within [`COUNTS_TTL_MS`].
 ///
 /// In a small fleet the counts of all others arrive; in a large one each publication goes to
@@ -35,9 +35,9 @@
 /// assert_eq!(reachable(120, 195), 195);
 /// assert!((90..=110).contains(&reachable(46, 195)));
 /// ```
-pub fn reachable(heard: usize, live: usize) -> usize {
+pub fn reachable(reporting: usize, live: usize) -> usize {
     let others = live.saturating_sub(1);
-    let share = heard as f64 / expected_received(others).max(1.0);
+    let share = reporting as f64 / expected_received(others).max(1.0);
     1 + (others as f64 * share.min(1.0)).round() as usize
 }
 
@@ -54,7 +54,7 @@
     seq: u64,
     at_ms: u64,
     running: HashMap<u32, u32>,
-    wishes: Vec<ServiceDemand>,
+    demands: Vec<ServiceDemand>,
 }
 
 /// Counts of the other routers for one upstream.
@@ -73,9 +73,9 @@
     pub upstreams: HashMap<u32, UpstreamTotals>,
     /// Number of requests each router runs or has waiting, by the digest of the service's name.
     /// Routers without any are left out.
-    pub wishes: HashMap<u32, Vec<u32>>,
+    pub demands: HashMap<u32, Vec<u32>>,
     /// Number of routers whose counts have not expired.
-    pub heard: usize,
+    pub reporting: usize,
     /// Share of the reachable routers that these are.
     pub share: f64,
     /// Mean age of their counts while this value is in use.
@@ -91,23 +91,23 @@
 
 impl InFlightTable {
     /// Stores the counts of a router unless newer ones of it have arrived.
-    pub fn heard(&mut self, received: InFlightReport, now_ms: u64) {
+    pub fn record(&mut self, received: InFlightReport, now_ms: u64) {
         let stamp = (received.from_incarnation, received.seq);
         let known = self.rows.get(&*received.from_host);
         if known.is_some_and(|row| (row.incarnation, row.seq) >= stamp) {
             return;
         }
-        for flight in received.flights.iter().filter(|f| f.ended > 0) {
-            let outcomes = self.outcomes.entry(flight.upstream_digest).or_default();
-            outcomes.add(flight.ended, flight.failed, now_ms);
+        for count in received.flights.iter().filter(|f| f.ended > 0) {
+            let outcomes = self.outcomes.entry(count.upstream_digest).or_default();
+            outcomes.add(count.ended, count.failed, now_ms);
         }
-        let flights = received.flights.into_iter().filter(|f| f.running > 0);
+        let running = received.flights.into_iter().filter(|f| f.running > 0);
         let row = Row {
             incarnation: received.from_incarnation,
             seq: received.seq,
             at_ms: now_ms,
-            running: flights.map(|f| (f.upstream_digest, f.running)).collect(),
-            wishes: received.wishes,
+            running: running.map(|f| (f.upstream_digest, f.running)).collect(),
+            demands: received.wishes,
         };
         self.rows.insert(received.from_host.into(), row);
     }
@@ -120,17 +120,18 @@
     /// router takes twice its share of a full service's slots.
     pub fn fleet_counts(&mut self, live: usize, now_ms: u64) -> FleetInFlight {
         let mut upstreams = self.sums(now_ms);
-        let heard = self.rows.len();
-        let scale = (reachable(heard, live) - 1).max(heard) as f64 / heard.max(1) as f64;
+        let reporting = self.rows.len();
+        let scale =
+            (reachable(reporting, live) - 1).max(reporting) as f64 / reporting.max(1) as f64;
         for counts in upstreams.values_mut() {
             counts.running *= scale;
         }
-        let mut wishes: HashMap<u32, Vec<u32>> = HashMap::new();
-        for wish in self.rows.values().flat_map(|row| &row.wishes) {
-            let of_service = wishes.entry(wish.service_digest).or_default();
-            of_service.push(wish.wanted);
+        let mut demands: HashMap<u32, Vec<u32>> = HashMap::new();
+        for demand in self.rows.values().flat_map(|row| &row.demands) {
+            let of_service = demands.entry(demand.service_digest).or_default();
+            of_service.push(demand.wanted);
         }
-        for of_service in wishes.values_mut() {
+        for of_service in demands.values_mut() {
             // The routers whose counts are missing are assumed to have the same demand as the
             // others.
             let all = (of_service.len() as f64 * scale).round() as usize;
@@ -138,8 +139,8 @@
         }
         FleetInFlight {
             upstreams,
-            wishes,
-            heard,
+            demands,
+            reporting,
             share: 1.0 / scale,
             age_ms: self.mean_age_ms(now_ms) + REPORT_INTERVAL_MS as f64 / 2.0,
         }
--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -23,7 +23,7 @@
 pub struct LeavingTable {
     listed: HashSet<u32>,
     signalled: HashSet<u32>,
-    heard: HashMap<u32, u64>,
+    received: HashMap<u32, u64>,
 }
 
 impl LeavingTable {
@@ -50,10 +50,10 @@
     pub fn merge(&mut self, updates: &[LeavingUpdate], now_ms: u64) {
         for update in updates {
             let at_ms = now_ms.saturating_sub(u64::from(update.age_ms) + HOP_MS);
-            let known = self.heard.entry(update.upstream_digest).or_insert(at_ms);
+            let known = self.received.entry(update.upstream_digest).or_insert(at_ms);
             *known = at_ms.max(*known);
         }
-        self.heard
+        self.received
             .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_TTL_MS);
     }
 
@@ -61,7 +61,7 @@
     pub fn sample<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingUpdate> {
         let own = self.own().map(|digest| (digest, 0));
         let mut ages: HashMap<u32, u64> = self
-            .heard
+            .received
             .iter()
             .map(|(digest, at_ms)| (*digest, now_ms.saturating_sub(*at_ms)))
             .filter(|(_, age_ms)| *age_ms < LEAVING_TTL_MS)
@@ -83,8 +83,11 @@
     /// Returns the digests of all upstreams that take no new work now.
     pub fn known(&self, now_ms: u64) -> HashSet<u32> {
         let fresh = |at_ms: u64| now_ms.saturating_sub(at_ms) < LEAVING_TTL_MS;
-        let heard = self.heard.iter().filter(|(_, at_ms)| fresh(**at_ms));
-        heard.map(|(digest, _)| *digest).chain(self.own()).collect()
+        let received = self.received.iter().filter(|(_, at_ms)| fresh(**at_ms));
+        received
+            .map(|(digest, _)| *digest)
+            .chain(self.own())
+            .collect()
     }
 
     fn own(&self) -> impl Iterator<Item = u32> {
--- a/src/fleet/loads.rs
+++ b/src/fleet/loads.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct LoadTable {
     own: HashMap<u32, LoadUpdate>,
-    heard: HashMap<u32, Row>,
+    received: HashMap<u32, Row>,
 }
 
 /// Returns the digest that stands for an upstream's name on the wire.
@@ -87,7 +87,7 @@
                 update: *update,
                 at_ms,
             };
-            let known = self.heard.entry(update.upstream_digest).or_insert(row);
+            let known = self.received.entry(update.upstream_digest).or_insert(row);
             if at_ms > known.at_ms {
                 *known = row;
             }
@@ -96,11 +96,11 @@
 
     /// Returns at most `max` loads to send: all of this router's own, then others in random order.
     pub fn sample<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadUpdate> {
-        self.heard
+        self.received
             .retain(|_, row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS);
         let mut updates: Vec<LoadUpdate> = self.own.values().copied().collect();
         updates.shuffle(rng);
-        let mut others: Vec<&Row> = self.heard.values().collect();
+        let mut others: Vec<&Row> = self.received.values().collect();
         let (others, _) = others.partial_shuffle(rng, max);
         for row in others {
             if updates.len() >= max {
@@ -122,10 +122,10 @@
     /// Returns the known loads by the upstreams' names; this router's own take precedence.
     pub fn known(&self, names: &HashMap<u32, Name>, now_ms: u64) -> HashMap<Name, Load> {
         let fresh = |row: &&Row| now_ms.saturating_sub(row.at_ms) < LOAD_TTL_MS;
-        let heard = self.heard.values().filter(fresh);
-        let heard = heard.map(|row| (row.update, row.at_ms));
+        let received = self.received.values().filter(fresh);
+        let received = received.map(|row| (row.update, row.at_ms));
         let own = self.own.values().map(|update| (*update, now_ms));
-        heard
+        received
             .chain(own)
             .filter_map(|(update, at_ms)| {
                 let name = names.get(&update.upstream_digest)?;
--- a/src/fleet/swim/merge.rs
+++ b/src/fleet/swim/merge.rs
@@ -14,7 +14,7 @@
 
 impl Swim {
     /// Records a message of `host`, which was alive at this incarnation when it sent it.
-    pub fn heard_from(&mut self, host: &str, incarnation: u64, now_ms: u64) {
+    pub fn record_contact(&mut self, host: &str, incarnation: u64, now_ms: u64) {
         let Some(entry) = self.members.get_mut(host) else {
             return;
         };
@@ -29,7 +29,7 @@
 
     /// Merges the full member list of another router. The fleet knows it already, so it isn't sent
     /// on.
-    pub fn learn(&mut self, known: Vec<Member>, now_ms: u64) {
+    pub fn merge_full_list(&mut self, known: Vec<Member>, now_ms: u64) {
         let hosts: Vec<Name> = known.iter().map(|m| m.host.clone()).collect();
         self.merge(known, now_ms);
         for host in hosts.iter().filter(|host| **host != self.me) {
--- a/src/fleet/swim/mod.rs
+++ b/src/fleet/swim/mod.rs
@@ -190,8 +190,8 @@
 
     /// Returns all members whose incarnation is known, as they are sent to others.
     pub fn all(&self) -> Vec<Member> {
-        let heard = self.members.values().filter(|e| e.member.incarnation > 0);
-        heard.map(|e| e.member.clone()).collect()
+        let known = self.members.values().filter(|e| e.member.incarnation > 0);
+        known.map(|e| e.member.clone()).collect()
     }
 
     /// Returns the number of members that are not dead, this router included.
@@ -255,7 +255,12 @@
     /// Returns at most `max` members to send to `to`: first the state of `to` if it must be refuted
     /// or accepted, then the least sent and newest changes. If there are none, one random member,
     /// so that lost datagrams are made up for.
-    pub fn rumours<R: Rng>(&mut self, to: Option<&Name>, max: usize, rng: &mut R) -> Vec<Member> {
+    pub fn updates_for<R: Rng>(
+        &mut self,
+        to: Option<&Name>,
+        max: usize,
+        rng: &mut R,
+    ) -> Vec<Member> {
         let limit = RETRANSMIT_FACTOR * (self.live().max(2).ilog2() + 1);
         let mut updates = Vec::with_capacity(max);
         if let Some(entry) = to.and_then(|to| self.members.get(to))
--- a/src/fleet/swim/probing.rs
+++ b/src/fleet/swim/probing.rs
@@ -241,7 +241,7 @@
         self.next_seq
     }
 
-    /// Handles one message from `from`, after [`Swim::heard_from`] and [`Swim::merge`].
+    /// Handles one message from `from`, after [`Swim::record_contact`] and [`Swim::merge`].
     pub fn receive(&mut self, from: SocketAddr, message: Message, now_ms: u64) -> Vec<Out> {
         match message {
             Message::Ping { seq, target } if target.is_empty() || target == self.me => {
--- a/src/gen/peer.rs
+++ b/src/gen/peer.rs
@@ -416,7 +416,7 @@
     pub all_upstreams: ::prost::alloc::vec::Vec<u8>,
     #[prost(message, optional, tag = "4")]
     pub mark: ::core::option::Option<LogPosition>,
-    /// The evacuated data centres, if the mark's orders_at is beyond the requester's.
+    /// The evacuated data centres, if orders_at of the mark is beyond the requester's.
     #[prost(string, repeated, tag = "5")]
     pub evacuated: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -18,7 +18,7 @@
 use crate::path::dialect::Records;
 use crate::path::router_state::RouterState;
 use crate::path::suspend::SuspendGuard;
-use crate::peers::packed;
+use crate::peers::compression;
 use crate::schema::peer::UpstreamChange;
 use crate::util::{Clock, Name};
 
@@ -127,14 +127,14 @@
     /// first that have it, over thin links: each gives to a few in a second, the rest wait, and a change is in force too
     /// late. Packed, it takes some hundredths of that.
     fn pack_config(&self, record: &[u8]) {
-        let packed = packed::pack(record);
+        let packed = compression::compress(record);
         let packed = packed.inspect_err(|e| log::error!("configuration can't be told: {e}"));
         self.packed_config.replace(packed.unwrap_or_default());
     }
 
     /// Takes a configuration that another router told.
     fn configure_packed(&self, config: &[u8], source: &str) {
-        match packed::unpack(config) {
+        match compression::decompress(config) {
             Ok(record) => self.configure(record, source),
             Err(e) => log::error!("configuration from {source} can't be unpacked: {e}"),
         }
--- a/src/path/log_replica/sync.rs
+++ b/src/path/log_replica/sync.rs
@@ -8,7 +8,7 @@
 use crate::fleet::log_reads::Freshness;
 use crate::path::dialect::Records;
 use crate::path::log_replica::LogReplica;
-use crate::peers::{frames, packed};
+use crate::peers::{compression, frames};
 use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest, UpstreamChange};
 use crate::util::Name;
 
@@ -228,7 +228,8 @@
 
 fn pack(changes: &Vec<UpstreamChange>) -> Vec<u8> {
     let listed = frames::to_vec(changes).map_err(|e| e.to_string());
-    let packed = listed.and_then(|listed| packed::pack(&listed).map_err(|e| e.to_string()));
+    let packed =
+        listed.and_then(|listed| compression::compress(&listed).map_err(|e| e.to_string()));
     packed
         .inspect_err(|e| log::error!("upstreams can't be told: {e}"))
         .unwrap_or_default()
@@ -239,6 +240,6 @@
     if packed.is_empty() {
         return Ok(Vec::new());
     }
-    let listed = packed::unpack(packed).map_err(|e| e.to_string())?;
+    let listed = compression::decompress(packed).map_err(|e| e.to_string())?;
     frames::from_slice(&listed).map_err(|e| e.to_string())
 }
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -112,7 +112,7 @@
 
     /// How many routers can reach one another here, this one among them.
     pub(crate) fn reachable_routers(&self) -> usize {
-        in_flight::reachable(self.gossip.in_flight().heard, self.routers())
+        in_flight::reachable(self.gossip.in_flight().reporting, self.routers())
     }
 
     /// Where other routers reach `host`.
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -131,7 +131,7 @@
 
 async fn ask_members<D>(path: &Path<D>, client: &PeerClient, addr: &Name) -> bool {
     match client
-        .ask::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
+        .query::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
         .await
     {
         Ok(MembersReply { members }) => {
@@ -154,7 +154,7 @@
         orders_at: path.replica.orders_at(),
     };
     let asked_ms = path.clock.now_ms();
-    match client.ask::<_, LogSyncReply>(addr, LOG_SYNC, &ask).await {
+    match client.query::<_, LogSyncReply>(addr, LOG_SYNC, &ask).await {
         Ok(give) => path.replica.take(give, addr, asked_ms),
         Err(e) => log::debug!("{addr} gives no news: {e}"),
     }
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -245,7 +245,7 @@
     pub(crate) fn demands_of_others(&self, service: &str) -> Vec<u32> {
         let picture = self.gossip.in_flight();
         picture
-            .wishes
+            .demands
             .get(&digest(service))
             .cloned()
             .unwrap_or_default()
--- a/src/peers/client.rs
+++ b/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Client for requests and questions to other routers.
+//! Client for requests and queries to other routers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,13 +30,13 @@
 use crate::stats;
 use crate::util::Name;
 
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Link = SendRequest<Full<Bytes>>;
 
-/// Error of a question to a peer.
+/// Error of a query to a peer.
 #[derive(Debug, Snafu)]
-pub(crate) enum QuestionError {
+pub(crate) enum QueryError {
     #[snafu(display("{source}"))]
     Encode { source: FrameError },
     #[snafu(display("{source}"))]
@@ -116,19 +116,19 @@
         ended.map_err(|e| lost(&e))
     }
 
-    /// Sends a question to the router at `addr` and waits for the answer.
-    pub(crate) async fn ask<Q, A>(
+    /// Sends a query to the router at `addr` and waits for the answer.
+    pub(crate) async fn query<Q, A>(
         &self,
         addr: &Name,
         path: &'static str,
-        question: &Q,
-    ) -> Result<A, QuestionError>
+        query: &Q,
+    ) -> Result<A, QueryError>
     where
         Q: Serialize,
         A: DeserializeOwned,
     {
         let call = async {
-            let payload = frames::to_vec(question).context(EncodeSnafu)?;
+            let payload = frames::to_vec(query).context(EncodeSnafu)?;
             stats::control_bytes("sent", kind(path), payload.len());
             let request = Request::post(format!("http://{addr}{path}"))
                 .header(AUTHORIZATION, &*self.key)
@@ -145,7 +145,7 @@
             stats::control_bytes("received", kind(path), answer.len());
             frames::from_slice(&answer).context(EncodeSnafu)
         };
-        compio::time::timeout(ASK_TIMEOUT, call)
+        compio::time::timeout(QUERY_TIMEOUT, call)
             .await
             .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,10 +1,10 @@
 //! Communication between routers: one HTTP/2 connection to each peer with one stream per request or
-//! question, and the datagrams of membership, loads and suspicions.
+//! query, and the datagrams of membership, loads and suspicions.
 
 mod client;
+pub(crate) mod compression;
 pub(crate) mod frames;
 pub(crate) mod http2;
-pub(crate) mod packed;
 #[cfg(test)]
 mod packed_tests;
 pub(crate) mod probes;
@@ -29,7 +29,7 @@
 pub(crate) const DEMAND: &str = "/demand";
 pub(crate) const CONVICTED: &str = "/convicted";
 
-/// Returns the label under which bytes of questions at `path` are counted.
+/// Returns the label under which bytes of queries at `path` are counted.
 pub(crate) fn kind(path: &'static str) -> &'static str {
     path.trim_start_matches('/')
 }
--- a/src/peers/packed_tests.rs
+++ b/src/peers/packed_tests.rs
@@ -1,4 +1,4 @@
-use super::packed::{pack, unpack};
+use super::compression::{compress, decompress};
 
 /// An operator adds 1,400 routes, and dozens of routers ask the first one that has them, over a
 /// link of 10 Mbit/s. Within the second that a question may take, forty must get them: 30 KB each.
@@ -14,14 +14,14 @@
     let routes: Vec<String> = (0..1_400).map(route).collect();
     let config = format!(r#"{{"version":7,"routes":[{}]}}"#, routes.join(","));
     assert!(config.len() > 250_000);
-    let packed = pack(config.as_bytes()).unwrap();
-    assert!(packed.len() < 30_000, "{} bytes", packed.len());
-    assert_eq!(unpack(&packed).unwrap(), config.as_bytes());
+    let compressed = compress(config.as_bytes()).unwrap();
+    assert!(compressed.len() < 30_000, "{} bytes", compressed.len());
+    assert_eq!(decompress(&compressed).unwrap(), config.as_bytes());
 }
 
 #[test]
 fn malformed_or_oversized_records_are_refused() {
-    assert!(unpack(b"no such thing").is_err());
-    let oversized = pack(&vec![0; 17 << 20]).unwrap();
-    assert!(unpack(&oversized).is_err());
+    assert!(decompress(b"no such thing").is_err());
+    let oversized = compress(&vec![0; 17 << 20]).unwrap();
+    assert!(decompress(&oversized).is_err());
 }
--- a/src/peers/probes/liveness.rs
+++ b/src/peers/probes/liveness.rs
@@ -6,8 +6,8 @@
 /// Whether this router may act as a home, as of the last run of its membership task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Liveness {
-    pub(super) at_ms: Rc<Cell<u64>>,
-    pub(super) doubt: Rc<Cell<bool>>,
+    pub(super) last_run_ms: Rc<Cell<u64>>,
+    pub(super) in_doubt: Rc<Cell<bool>>,
     pub(super) limit_ms: u64,
 }
 
@@ -19,6 +19,6 @@
     /// home by now. The time of the task's last run is too old until the task has run and put the
     /// router in doubt.
     pub(crate) fn may_admit(&self, now_ms: u64) -> bool {
-        !self.doubt.get() && now_ms.saturating_sub(self.at_ms.get()) <= self.limit_ms
+        !self.in_doubt.get() && now_ms.saturating_sub(self.last_run_ms.get()) <= self.limit_ms
     }
 }
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -72,7 +72,7 @@
             limit_ms: start.policy.suspicion_ms,
             ..Liveness::default()
         };
-        liveness.at_ms.set(now_ms);
+        liveness.last_run_ms.set(now_ms);
         let swim = Swim::new(start.me, start.policy, now_ms);
         let (view_tx, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
@@ -82,8 +82,8 @@
             loads: LoadTable::default(),
             suspects: SuspectTable::default(),
             leaving: LeavingTable::default(),
-            flights: InFlightTable::default(),
-            flights_seq: 0,
+            in_flight: InFlightTable::default(),
+            in_flight_seq: 0,
             names: HashMap::new(),
             config: start.config,
             clock: start.clock,
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -58,8 +58,8 @@
     pub(super) loads: LoadTable,
     pub(super) suspects: SuspectTable,
     pub(super) leaving: LeavingTable,
-    pub(super) flights: InFlightTable,
-    pub(super) flights_seq: u64,
+    pub(super) in_flight: InFlightTable,
+    pub(super) in_flight_seq: u64,
     pub(super) names: HashMap<u32, Name>,
     pub(super) config: watch::Receiver<Arc<ConfigView>>,
     pub(super) clock: Clock,
@@ -83,7 +83,7 @@
             }
             let wait = Duration::from_millis(next_tick_ms.saturating_sub(now_ms));
             match compio::time::timeout(wait, rx.recv()).await {
-                Ok(Some(note)) => self.handle(note).await,
+                Ok(Some(command)) => self.handle(command).await,
                 Ok(None) => return,
                 Err(_) => {}
             }
@@ -92,7 +92,7 @@
 
     async fn tick(&mut self, now_ms: u64) {
         let out = self.swim.tick(now_ms, &mut self.rng);
-        self.liveness.at_ms.set(now_ms);
+        self.liveness.last_run_ms.set(now_ms);
         if self.config.has_changed().unwrap_or(false) {
             self.config_changed();
         }
@@ -102,7 +102,7 @@
         }
         if self.swim.take_changed() {
             self.liveness
-                .doubt
+                .in_doubt
                 .set(self.swim.in_doubt() || self.swim.replaced());
             self.view_changed();
         }
@@ -115,17 +115,18 @@
         self.send_all(out).await;
     }
 
-    async fn handle(&mut self, note: GossipCommand) {
+    async fn handle(&mut self, command: GossipCommand) {
         let now_ms = self.clock.now_ms();
-        match note {
+        match command {
             GossipCommand::Publish(Publish::Loads(loads)) => {
                 for load in &loads {
                     self.loads.publish(load);
                 }
                 self.loads_changed = true;
             }
-            GossipCommand::Publish(Publish::InFlight(flights, wishes, mark)) => {
-                self.publish_flights(flights, wishes, mark, now_ms).await;
+            GossipCommand::Publish(Publish::InFlight(counts, demands, position)) => {
+                self.publish_in_flight(counts, demands, position, now_ms)
+                    .await;
             }
             GossipCommand::Publish(Publish::Suspicion(suspicion)) => {
                 self.suspect(&[suspicion], now_ms)
@@ -138,13 +139,13 @@
                 self.swim.listed(hosts, now_ms);
                 self.leaving.listed(&leaving);
             }
-            GossipCommand::MembersReceived(members) => self.swim.learn(members, now_ms),
+            GossipCommand::MembersReceived(members) => self.swim.merge_full_list(members, now_ms),
             GossipCommand::Members(reply) => {
                 // The requester may have disconnected.
                 let _ = reply.send(self.swim.all());
             }
             GossipCommand::Leave => self.swim.leave(now_ms),
-            GossipCommand::Goodbye(done) => {
+            GossipCommand::Finish(done) => {
                 let out = self.swim.finish(now_ms, &mut self.rng);
                 self.send_all(out).await;
                 // The router may have stopped waiting.
@@ -155,27 +156,27 @@
 
     /// Publishes the counts of running requests. In a large fleet each publication goes to random
     /// routers.
-    async fn publish_flights(
+    async fn publish_in_flight(
         &mut self,
-        flights: Vec<InFlightCount>,
-        wishes: Vec<ServiceDemand>,
-        mark: LogPosition,
+        counts: Vec<InFlightCount>,
+        demands: Vec<ServiceDemand>,
+        position: LogPosition,
         now_ms: u64,
     ) {
         let view = self.view_tx.borrow().clone();
         let is_live = |m: &&Member| m.state != MemberState::Dead;
         let live = view.members.iter().filter(is_live).count();
-        let fleet_counts = self.flights.fleet_counts(live, now_ms);
-        self.senders.flights.send_replace(Arc::new(fleet_counts));
-        self.flights_seq += 1;
+        let totals = self.in_flight.fleet_counts(live, now_ms);
+        self.senders.in_flight.send_replace(Arc::new(totals));
+        self.in_flight_seq += 1;
         let me = self.swim.me();
         let body = Body::Flights(InFlightReport {
             from_host: me.host.to_string(),
             from_incarnation: me.incarnation,
-            seq: self.flights_seq,
-            flights,
-            mark: Some(mark),
-            wishes,
+            seq: self.in_flight_seq,
+            flights: counts,
+            mark: Some(position),
+            wishes: demands,
         });
         let Ok(payload) = frames::to_vec(&Datagram {
             body: Some(body.clone()),
@@ -211,15 +212,12 @@
                 (gossip, Message::Ack { seq, host })
             }
             Body::Flights(mut counts) => {
-                let mark = counts.mark.take().unwrap_or_default();
+                let position = counts.mark.take().unwrap_or_default();
                 let host = counts.from_host.clone();
                 self.senders
                     .peer_positions
-                    .send_replace(Arc::new(PeerPosition {
-                        host,
-                        position: mark,
-                    }));
-                return self.flights.heard(counts, now_ms);
+                    .send_replace(Arc::new(PeerPosition { host, position }));
+                return self.in_flight.record(counts, now_ms);
             }
         };
         self.merge(gossip.unwrap_or_default(), now_ms);
@@ -232,7 +230,7 @@
         let members = gossip.members.into_iter().map(Member::from).collect();
         self.swim.merge(members, now_ms);
         self.swim
-            .heard_from(&gossip.from_host, gossip.from_incarnation, now_ms);
+            .record_contact(&gossip.from_host, gossip.from_incarnation, now_ms);
         self.leaving.merge(&gossip.leaving, now_ms);
         self.loads.merge(&gossip.loads, now_ms);
         self.loads_changed |= !gossip.loads.is_empty();
@@ -377,7 +375,7 @@
         let config = self.config.borrow();
         let me = self.swim.me();
         let (from_host, from_incarnation) = (me.host.to_string(), me.incarnation);
-        let updates = self.swim.rumours(to, MAX_MEMBERS, &mut self.rng);
+        let updates = self.swim.updates_for(to, MAX_MEMBERS, &mut self.rng);
         peer::Gossip {
             from_host,
             from_incarnation,
--- a/src/peers/refuse.rs
+++ b/src/peers/refuse.rs
@@ -67,6 +67,6 @@
 }
 
 /// Whether it is certain that the refused request reached no upstream.
-pub(crate) fn surely_not_run(refused: &peer::Refusal) -> bool {
+pub(crate) fn is_not_run(refused: &peer::Refusal) -> bool {
     refused.run_state.parse() == Ok(RunState::NotRun)
 }
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Server for requests and questions of other routers.
+//! Server for requests and queries of other routers.
 
 use std::convert::Infallible;
 use std::io;
@@ -26,25 +26,25 @@
 use crate::stats;
 use crate::util::Name;
 
-/// Handler of other routers' questions.
+/// Handler of other routers' queries.
 pub(crate) trait PeerHandler: Clone + 'static {
-    /// Answers the question received at `path`.
+    /// Answers the query received at `path`.
     fn answer(&self, path: &str, body: Incoming) -> impl Future<Output = Response<Answer>>;
 }
 
 /// Listens at `addr` and serves routers that send the fleet's `key`.
-pub(crate) async fn bind<Q: PeerHandler>(
+pub(crate) async fn bind<H: PeerHandler>(
     addr: SocketAddr,
     key: Name,
     drain: Drain,
-    questions: Q,
+    handler: H,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     compio::runtime::spawn(async move {
         loop {
             let stream = listen::accept(&listener, "peer").await;
-            let served = serve(stream, key.clone(), drain.clone(), questions.clone());
+            let served = serve(stream, key.clone(), drain.clone(), handler.clone());
             compio::runtime::spawn(served).detach();
         }
     })
@@ -52,15 +52,15 @@
     Ok(addr)
 }
 
-async fn serve<Q: PeerHandler>(stream: TcpStream, key: Name, drain: Drain, questions: Q) {
+async fn serve<H: PeerHandler>(stream: TcpStream, key: Name, drain: Drain, handler: H) {
     watch_silence(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
-        let (key, drain, questions) = (key.clone(), drain.clone(), questions.clone());
+        let (key, drain, handler) = (key.clone(), drain.clone(), handler.clone());
         async move {
             let in_flight = drain.begin();
             let response = if is_authorized(&key, &request) {
                 let (parts, body) = request.into_parts();
-                questions.answer(parts.uri.path(), body).await
+                handler.answer(parts.uri.path(), body).await
             } else {
                 status(StatusCode::UNAUTHORIZED)
             };
@@ -83,7 +83,7 @@
     given.ct_eq(key.as_bytes()).into()
 }
 
-/// Decodes one question, received on `path`, and encodes its answer.
+/// Decodes one query, received on `path`, and encodes its answer.
 pub(crate) async fn reply<Q, A>(
     path: &'static str,
     body: Incoming,
@@ -96,16 +96,16 @@
     let Ok(body) = Limited::new(body, frames::MAX_FRAME_BYTES).collect().await else {
         return status(StatusCode::BAD_REQUEST);
     };
-    let question = body.to_bytes();
-    stats::control_bytes("received", kind(path), question.len());
-    let question = match frames::from_slice(&question) {
-        Ok(question) => question,
+    let query = body.to_bytes();
+    stats::control_bytes("received", kind(path), query.len());
+    let query = match frames::from_slice(&query) {
+        Ok(query) => query,
         Err(e) => {
-            log::warn!("question of a peer on {path} can't be decoded; answering 400: {e}");
+            log::warn!("query of a peer on {path} can't be decoded; answering 400: {e}");
             return status(StatusCode::BAD_REQUEST);
         }
     };
-    match frames::to_vec(&reply(question).await) {
+    match frames::to_vec(&reply(query).await) {
         Ok(bytes) => {
             stats::control_bytes("sent", kind(path), bytes.len());
             Response::new(Answer::whole(bytes))
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -234,7 +234,7 @@
                 }
                 Body::Chunk(_) => None,
                 Body::End(_) => Some(Ended::Whole),
-                Body::Refused(refused) if !refuse::surely_not_run(refused) => {
+                Body::Refused(refused) if !refuse::is_not_run(refused) => {
                     return Ended::Broken(std::mem::take(refused));
                 }
                 Body::Refused(_) => Some(Ended::Refused),
--- a/src/serve/home/limits.rs
+++ b/src/serve/home/limits.rs
@@ -113,7 +113,7 @@
                     self.take(&self.grant(&report));
                     continue;
                 };
-                match peers.ask(&addr, DEMAND, &report).await {
+                match peers.query(&addr, DEMAND, &report).await {
                     Ok(grant) => self.take(&grant),
                     // The shares decay to an even one until an accountant answers.
                     Err(e) => log::debug!("no shares from {addr}: {e}"),
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -190,7 +190,10 @@
         let fleet = self.ctx.fleet();
         let others = fleet.members.iter().filter(|m| m.host != self.ctx.host);
         let tell = async |addr: &Name| {
-            let told = self.peers.ask::<_, Done>(addr, CONVICTED, &suspicion).await;
+            let told = self
+                .peers
+                .query::<_, Done>(addr, CONVICTED, &suspicion)
+                .await;
             if let Err(e) = told {
                 log::warn!("{addr} wasn't told of a conviction: {e}");
             }
--- a/src/serve/peers/join.rs
+++ b/src/serve/peers/join.rs
@@ -31,7 +31,7 @@
         return;
     }
     for addr in others(ctx) {
-        let asked = peers.ask(&addr, MEMBERS, &MembersRequest {}).await;
+        let asked = peers.query(&addr, MEMBERS, &MembersRequest {}).await;
         match asked {
             Ok(MembersReply { members }) => {
                 let members = members.into_iter().map(Member::from).collect();
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -40,7 +40,7 @@
         let member = others[*turn % others.len()];
         *turn = turn.wrapping_add(1);
         match peers
-            .ask::<_, ConfigReply>(&member.peer_addr, CONFIG, &ask)
+            .query::<_, ConfigReply>(&member.peer_addr, CONFIG, &ask)
             .await
         {
             Ok(give) if best.as_ref().is_none_or(|b| give.offset > b.offset) => best = Some(give),
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -42,7 +42,7 @@
                 claim: Some(claim.clone()),
                 key_ms,
             };
-            match self.peers.ask(&addr, CLAIM, &ask).await {
+            match self.peers.query(&addr, CLAIM, &ask).await {
                 Ok(give) => return verdict(give),
                 Err(e) => log::debug!("claims reader {addr}: {e}"),
             }
@@ -69,7 +69,7 @@
         if let Some(addr) = self.reader(key)
             && self
                 .peers
-                .ask::<_, Done>(&addr, CLAIM_NOTE, &note)
+                .query::<_, Done>(&addr, CLAIM_NOTE, &note)
                 .await
                 .is_ok()
         {
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -115,7 +115,7 @@
             let spent_ms = self.ctx.clock.now_ms() - start_ms;
             forward.remaining_ms = budget_ms.saturating_sub(spent_ms);
             let tried = FailedAttempt {
-                may_have_run: !refuse::surely_not_run(&refused),
+                may_have_run: !refuse::is_not_run(&refused),
                 retries,
                 remaining_ms: forward.remaining_ms,
             };
@@ -247,7 +247,7 @@
         if let Some(load) = &refused.load {
             self.placer.loads.heard(name, load);
         }
-        if !refuse::surely_not_run(&refused) {
+        if !refuse::is_not_run(&refused) {
             self.placer.failed(forward, name);
             return Tried::Started(Started {
                 first: Body::Refused(refused),
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -249,7 +249,7 @@
         let started = match self.dispatch.route(forward).await {
             Ok(started) => started,
             Err(refused) => {
-                if refuse::surely_not_run(&refused) {
+                if refuse::is_not_run(&refused) {
                     self.release(&claim, arbiter, &request_id).await;
                 } else {
                     let outcome = kept::unknown(&claim);
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -185,7 +185,7 @@
         };
         let peers = self.peers.clone();
         compio::runtime::spawn(async move {
-            if let Err(e) = peers.ask::<_, WarmReply>(&addr, WARM, &note).await {
+            if let Err(e) = peers.query::<_, WarmReply>(&addr, WARM, &note).await {
                 log::debug!("{addr} wasn't told of a chat: {e}");
             }
         })
@@ -234,7 +234,7 @@
             chat_key: forward.chat_key,
             ..WarmRequest::default()
         };
-        let asked = self.peers.ask::<_, WarmReply>(&addr, WARM, &ask);
+        let asked = self.peers.query::<_, WarmReply>(&addr, WARM, &ask);
         let given = compio::time::timeout(ASK_TIMEOUT, asked).await.ok()?.ok()?;
         (!given.upstream.is_empty()).then(|| Place {
             upstream: given.upstream.into(),
--- a/src/serve/route/resume.rs
+++ b/src/serve/route/resume.rs
@@ -56,8 +56,8 @@
         tries += 1;
         forward.deaths = refused.deaths;
         // A refusal that says "not run" was already tried everywhere.
-        let hopeless = refuse::surely_not_run(&refused) || suspects::convicted(&refused);
-        may_have_run |= !refuse::surely_not_run(&refused);
+        let hopeless = refuse::is_not_run(&refused) || suspects::convicted(&refused);
+        may_have_run |= !refuse::is_not_run(&refused);
         if hopeless || tries > RESUMES || spent_ms >= budget_ms {
             return Err(told(refused, may_have_run));
         }
@@ -71,7 +71,7 @@
 /// The last try's refusal, as true of all tries: that the last one wasn't run says nothing of one
 /// before it that broke off, and a caller told "not run" would count on it.
 fn told(mut refused: Refusal, may_have_run: bool) -> Refusal {
-    if may_have_run && refuse::surely_not_run(&refused) {
+    if may_have_run && refuse::is_not_run(&refused) {
         refused.run_state = RunState::Unknown.to_string();
     }
     refused
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -40,7 +40,7 @@
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
     let cut = ctx.drain.ended(limit).await;
     let (done, told) = oneshot::channel();
-    ctx.gossip.send(GossipCommand::Goodbye(done));
+    ctx.gossip.send(GossipCommand::Finish(done));
     let _ = compio::time::timeout(GOODBYE, told).await;
     ctx.events.emit(Kind::RouterStopped, |e| {
         e.detail = format!("{cut} still in flight at the limit");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -169,7 +169,7 @@
         target: "nobody".into(),
     };
     assert!(swim.receive(from, relay, now_ms).is_empty());
-    swim.heard_from("nobody", 7, now_ms);
+    swim.record_contact("nobody", 7, now_ms);
     assert_eq!(swim.view().members, before.members);
 }
 
--- a/tests/support/net.rs
+++ b/tests/support/net.rs
@@ -139,7 +139,7 @@
     pub(crate) fn send(&mut self, from: usize, out: Vec<Out>) {
         for Out { to, host, message } in out {
             let swim = &mut self.nodes[from].swim;
-            let rumours = swim.rumours(host.as_ref(), MAX_MEMBERS, &mut self.rng);
+            let rumours = swim.updates_for(host.as_ref(), MAX_MEMBERS, &mut self.rng);
             let incarnation = swim.me().incarnation;
             self.sent += 1;
             if self.rng.random_bool(self.loss) {
@@ -179,7 +179,7 @@
         let from = SocketAddr::from(([127, 0, 0, 1], 1000 + u16::try_from(flying.from).unwrap()));
         let swim = &mut self.nodes[to].swim;
         swim.merge(flying.rumours, now_ms);
-        swim.heard_from(&host(flying.from), flying.incarnation, now_ms);
+        swim.record_contact(&host(flying.from), flying.incarnation, now_ms);
         let out = swim.receive(from, flying.message, now_ms);
         self.send(to, out);
     }
