--- a/src/router.rs
+++ b/src/router.rs
@@ -23,9 +23,9 @@
 use crate::schema::settings::{Fleet, Listen, Settings};
 use crate::serve::home::Homes;
 use crate::serve::operator::orders::{self, Orders};
-use crate::serve::peers::{Answers, join, states};
+use crate::serve::peers::{PeerHandler, join, states};
 use crate::serve::route::Dispatch;
-use crate::serve::{Admin, Callers, Ctx, Operators, SharedCtx, Tokens, grouping, stop};
+use crate::serve::{Admin, Callers, Ctx, Operators, RunKeys, SharedCtx, grouping, stop};
 use crate::util::{Clock, Name, wall_ms};
 
 /// Why a router can't start.
@@ -111,7 +111,7 @@
         let peers = PeerClient::new(&fleet_key, ctx.events.clone());
         compio::runtime::spawn(states::answer(ctx.clone(), peers.clone(), questions)).detach();
         let dispatch = Dispatch::new(ctx.clone(), homes.clone(), peers.clone(), http);
-        let answers = Answers {
+        let answers = PeerHandler {
             ctx: ctx.clone(),
             dispatch: dispatch.clone(),
         };
@@ -180,7 +180,7 @@
         retention: Duration::from_millis(platform.retention_ms),
     };
     let (keeper, questions) = Keeper::spawn(client.clone(), &name, following, events.clone());
-    let tokens = Tokens::new(&name, Clock::start());
+    let run_keys = RunKeys::new(&name, Clock::start());
     let orders = Orders::spawn(orders::Start {
         log: client.clone(),
         host: name.clone(),
@@ -223,7 +223,7 @@
         config: keeper.view(),
         keeper,
         claims,
-        tokens,
+        run_keys,
         orders,
         fleet: probes.view,
         gossip: probes.gossip,
--- a/src/serve/admin.rs
+++ b/src/serve/admin.rs
@@ -18,11 +18,11 @@
 use crate::log::follow::Standing;
 use crate::serve::SharedCtx;
 
-/// Far more than scrapers need; strangers that hold more would take callers' file descriptors.
+/// Far more than scrapers need; the bound keeps file descriptors free for callers.
 const MAX_CONNECTIONS: usize = 64;
 const SCRAPE_TYPE: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// Serves the pages.
+/// The listener for admin pages.
 pub(crate) struct Admin {
     addr: SocketAddr,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The metrics page alone.
+/// Serves only the metrics and health pages.
 pub(crate) struct Metrics(pub(crate) Exporter);
 
 impl Page for Metrics {
@@ -98,21 +98,23 @@
     }
 }
 
-/// Ready once a configuration is in force and no stop is under way; else says why not, a reason a
-/// line.
+/// Returns 200 once a configuration is in force and no planned stop is in progress; otherwise 503
+/// with one reason per line.
 fn ready(ctx: &SharedCtx) -> Response<Answer> {
     let version = ctx.config().state.version;
     let mut reasons = Vec::new();
     if version == 0 {
         reasons.push(match ctx.keeper.standing() {
-            Standing::LogDown => "no configuration yet: neither the log nor a peer gave one",
-            Standing::Gap => "no configuration yet: its records expired and no peer has it",
-            Standing::Newer { .. } => "no configuration yet: its records are of a newer schema",
+            Standing::LogDown => "no configuration yet: not available from the log or a peer",
+            Standing::Gap => {
+                "no configuration yet: the log's records expired and no peer has a copy"
+            }
+            Standing::Newer { .. } => "no configuration yet: the log's records use a newer schema",
             Standing::Starting | Standing::Current => "no configuration yet",
         });
     }
     if ctx.drain.is_stopping() {
-        reasons.push("a planned stop is under way");
+        reasons.push("a planned stop is in progress");
     }
     if reasons.is_empty() {
         return text(StatusCode::OK, format!("configuration version {version}\n"));
--- a/src/serve/callers/answers.rs
+++ b/src/serve/callers/answers.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to the caller: streamed as events, collected into one object, or as they are.
+//! Returns answers to callers: streamed as events, collected into one object, or unchanged.
 
 use std::io;
 use std::time::Instant;
@@ -22,11 +22,11 @@
 use crate::stats::{self, Tally};
 use crate::util;
 
-const CHANNEL: usize = 64;
-/// The longest answer that is collected before it is sent; a longer one must be streamed.
+const CHANNEL_CAPACITY: usize = 64;
+/// The longest answer that is collected before it is sent; longer ones must be streamed.
 const MAX_COLLECTED_BYTES: usize = 16 << 20;
 
-/// Passes a chat answer on as server-sent events.
+/// Streams a chat answer as server-sent events.
 pub(crate) fn streamed(
     ctx: &SharedCtx,
     request_id: &str,
@@ -34,14 +34,14 @@
     mut tally: Tally,
 ) -> Result<Response<Answer>, peer::Refusal> {
     let head = head(started.first)?;
-    let (tx, rx) = mpsc::channel(CHANNEL);
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
     let mut rest = started.rest;
     let id = request_id.to_owned();
     let events = ctx.events.clone();
     let start = Instant::now();
     compio::runtime::spawn(async move {
         while let Some(body) = next_wanted(&mut rest, &tx).await {
-            note(&events, &body, &id, start);
+            emit_end(&events, &body, &id, start);
             let whole = matches!(body, Body::End(_));
             let (piece, last) = sse(body, &id);
             if tx.send(piece).await.is_err() {
@@ -54,7 +54,7 @@
         if !tx.is_closed() {
             tally.ended(false);
         }
-        // No end mark came: cut the connection, so that the caller sees a cut answer.
+        // The answer ended early: close the connection, so that the caller detects a truncated answer.
         let _ = tx.send(Err(io::Error::other("answer cut"))).await;
     })
     .detach();
@@ -65,8 +65,8 @@
     Ok(response)
 }
 
-/// Notes the end of an answer in the time line.
-fn note(events: &Events, body: &Body, request_id: &str, start: Instant) {
+/// Emits the event for the end of an answer.
+fn emit_end(events: &Events, body: &Body, request_id: &str, start: Instant) {
     let (kind, detail) = match body {
         Body::End(end) => (Kind::RequestAnswered, format!("{} chunks", end.chunks)),
         Body::Refused(r) => (Kind::RequestRefused, format!("{}: {}", r.cause, r.detail)),
@@ -79,7 +79,7 @@
     });
 }
 
-/// What an engine says of its prompt at the end of an answer.
+/// The prompt's token counts, which an engine sends at the end of an answer.
 #[derive(Deserialize)]
 struct Usage {
     prompt_tokens: u64,
@@ -98,14 +98,14 @@
     usage: Option<Usage>,
 }
 
-/// Counts the prompt's tokens, if this chunk tells them: only the last does.
-fn note_usage(chunk: &[u8]) {
+/// Records the prompt's token counts if the chunk has them; only the last one does.
+fn record_usage(chunk: &[u8]) {
     const FIELD: &[u8] = b"\"usage\"";
     if !chunk.windows(FIELD.len()).any(|w| w == FIELD) {
         return;
     }
-    let told = serde_json::from_slice::<WithUsage>(chunk).ok();
-    if let Some(usage) = told.and_then(|t| t.usage) {
+    let parsed = serde_json::from_slice::<WithUsage>(chunk).ok();
+    if let Some(usage) = parsed.and_then(|p| p.usage) {
         stats::prompt(
             usage.prompt_tokens,
             usage.prompt_tokens_details.cached_tokens,
@@ -113,17 +113,17 @@
     }
 }
 
-/// One frame as server-sent events, and whether it is the last.
+/// Formats a frame as server-sent events; also returns whether it is the last.
 fn sse(body: Body, request_id: &str) -> (io::Result<Bytes>, bool) {
     match body {
         Body::Chunk(data) => {
-            note_usage(&data);
+            record_usage(&data);
             let text = String::from_utf8_lossy(&data);
             (Ok(format!("data: {text}\n\n").into()), false)
         }
         Body::End(end) => {
-            let mark = format!(": chunks={}\n\ndata: [DONE]\n\n", end.chunks);
-            (Ok(mark.into()), true)
+            let end = format!(": chunks={}\n\ndata: [DONE]\n\n", end.chunks);
+            (Ok(end.into()), true)
         }
         Body::Refused(refused) => {
             let json = refusal::json(&refused, request_id);
@@ -141,7 +141,7 @@
 ) -> Result<Response<Answer>, peer::Refusal> {
     let start = Instant::now();
     let head = head(started.first)?;
-    let chunks = whole(started.rest).await?;
+    let chunks = collect_chunks(started.rest).await?;
     ctx.events.emit(Kind::RequestAnswered, |e| {
         request_id.clone_into(&mut e.request_id);
         e.took_us = util::micros(start.elapsed());
@@ -153,7 +153,7 @@
         return Ok(response);
     }
     if let Some(last) = chunks.last() {
-        note_usage(last);
+        record_usage(last);
     }
     let json = chat_object(&chunks);
     Ok(json_response(StatusCode::OK, json.to_string()))
@@ -184,7 +184,7 @@
     })
 }
 
-async fn whole(mut rest: mpsc::Receiver<Body>) -> Result<Vec<Vec<u8>>, peer::Refusal> {
+async fn collect_chunks(mut rest: mpsc::Receiver<Body>) -> Result<Vec<Vec<u8>>, peer::Refusal> {
     let mut chunks = Vec::new();
     let mut bytes = 0;
     while let Some(body) = rest.recv().await {
@@ -202,10 +202,10 @@
         }
     }
     let refusal = Refusal::unknown(Cause::UpstreamFailed);
-    Err(refuse::message(&refusal, "the answer was cut"))
+    Err(refuse::message(&refusal, "the answer ended early"))
 }
 
-/// It ran, and the rest of its answer is given up.
+/// Returns the refusal for an answer over the size limit; the request ran.
 fn too_long() -> peer::Refusal {
     let refusal = Refusal {
         run: RunState::Ran,
@@ -215,8 +215,8 @@
     refuse::message(&refusal, detail)
 }
 
-/// Passes a plain service's answer on as it comes.
-pub(crate) fn passed_on(
+/// Relays a plain service's answer unchanged.
+pub(crate) fn relayed(
     ctx: &SharedCtx,
     request_id: &str,
     started: Started,
@@ -226,11 +226,11 @@
     let id = request_id.to_owned();
     let events = ctx.events.clone();
     let start = Instant::now();
-    let (tx, rx) = mpsc::channel(CHANNEL);
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
     let mut rest = started.rest;
     compio::runtime::spawn(async move {
         while let Some(body) = next_wanted(&mut rest, &tx).await {
-            note(&events, &body, &id, start);
+            emit_end(&events, &body, &id, start);
             let piece = match body {
                 Body::Chunk(data) => Ok(data.into()),
                 Body::End(_) => return tally.ended(true),
--- a/src/serve/callers/chat.rs
+++ b/src/serve/callers/chat.rs
@@ -1,5 +1,5 @@
-//! The chat request as callers send it, read for routing only; the body goes on unchanged but for
-//! `stream`, which engines are always asked for.
+//! Parses chat requests for routing. The body is forwarded unchanged except for `stream`, which is
+//! always set for engines.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -7,7 +7,7 @@
 
 use crate::decide::ChatKey;
 
-/// Characters a token stands for, on average.
+/// Average number of bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Shape {
+struct ChatRequest {
     model: String,
     messages: Vec<Message>,
     #[serde(default)]
@@ -45,7 +45,7 @@
     content: Value,
 }
 
-/// What routing needs to know of a chat request.
+/// The properties of a chat request that routing uses, and the body to forward.
 #[derive(Debug)]
 pub(crate) struct Chat {
     pub(crate) model: String,
@@ -56,53 +56,62 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Reads a chat request of `account`.
+/// Parses a chat request of `account`.
 pub(crate) fn parse(account: &str, body: &[u8]) -> Result<Chat, ChatError> {
-    let shape: Shape = serde_json::from_slice(body)?;
-    check(&shape)?;
-    let bytes: usize = shape.messages.iter().map(|m| length(&m.content)).sum();
+    let request: ChatRequest = serde_json::from_slice(body)?;
+    check(&request)?;
+    let bytes: usize = request.messages.iter().map(|m| length(&m.content)).sum();
     Ok(Chat {
-        key: ChatKey::new(account, &chat_name(&shape), &shape.model, &shape.adapter),
-        stream: shape.stream,
+        key: ChatKey::new(
+            account,
+            &chat_name(&request),
+            &request.model,
+            &request.adapter,
+        ),
+        stream: request.stream,
         prompt_tokens: u32::try_from(bytes / BYTES_PER_TOKEN).unwrap_or(u32::MAX),
-        output_tokens: shape.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS),
-        body: streaming(body, shape.stream)?,
-        model: shape.model,
+        output_tokens: request.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS),
+        body: with_stream_set(body, request.stream)?,
+        model: request.model,
     })
 }
 
-fn check(shape: &Shape) -> Result<(), ChatError> {
-    let require = |holds: bool, field, reason| {
-        if holds {
+fn check(request: &ChatRequest) -> Result<(), ChatError> {
+    let require = |condition: bool, field, reason| {
+        if condition {
             return Ok(());
         }
         FieldSnafu { field, reason }.fail()
     };
-    require(!shape.model.is_empty(), "model", "must not be empty")?;
-    require(!shape.messages.is_empty(), "messages", "must not be empty")?;
-    let tokens = shape.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
+    require(!request.model.is_empty(), "model", "must not be empty")?;
+    require(
+        !request.messages.is_empty(),
+        "messages",
+        "must not be empty",
+    )?;
+    let tokens = request.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
     let fits = (1..=MAX_OUTPUT_TOKENS).contains(&tokens);
     require(fits, "max_tokens", "must be from 1 to 1000000")
 }
 
-/// The body with `stream` set; as it came where the caller already set it.
-fn streaming(body: &[u8], asked: bool) -> Result<Vec<u8>, serde_json::Error> {
-    if asked {
+/// Returns the body with `stream` set; unchanged if the caller already set it.
+fn with_stream_set(body: &[u8], already_set: bool) -> Result<Vec<u8>, serde_json::Error> {
+    if already_set {
         return Ok(body.to_vec());
     }
-    let mut whole: Value = serde_json::from_slice(body)?;
-    if let Some(object) = whole.as_object_mut() {
+    let mut request: Value = serde_json::from_slice(body)?;
+    if let Some(object) = request.as_object_mut() {
         object.insert("stream".to_owned(), Value::Bool(true));
     }
-    serde_json::to_vec(&whole)
+    serde_json::to_vec(&request)
 }
 
-/// The caller's name for the chat, else its first message, which each return repeats.
-fn chat_name(shape: &Shape) -> String {
-    if !shape.prompt_cache_key.is_empty() {
-        return shape.prompt_cache_key.clone();
+/// Returns the caller's cache key for the chat, or its first message, which each turn repeats.
+fn chat_name(request: &ChatRequest) -> String {
+    if !request.prompt_cache_key.is_empty() {
+        return request.prompt_cache_key.clone();
     }
-    shape
+    request
         .messages
         .first()
         .map(|m| m.content.to_string())
--- a/src/serve/callers/chat_tests.rs
+++ b/src/serve/callers/chat_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-#[test_case("{\"model\":\"m\"", "EOF while parsing"; "cut off")]
+#[test_case("{\"model\":\"m\"", "EOF while parsing"; "truncated")]
 #[test_case("{\"messages\":[{}]}", "missing field `model`"; "no model")]
 #[test_case("{\"model\":\"m\"}", "missing field `messages`"; "no messages")]
 #[test_case("{\"model\":\"\",\"messages\":[{}]}", "model: must not be empty"; "empty model")]
@@ -10,10 +10,10 @@
 #[test_case("{\"model\":\"m\",\"model\":\"n\",\"messages\":[{}]}", "duplicate field `model`"; "two models")]
 #[test_case("{\"model\":\"m\",\"messages\":[{}],\"max_tokens\":0}", "max_tokens: must be"; "no tokens")]
 #[test_case("{\"model\":\"m\",\"messages\":[{}],\"max_tokens\":-1}", "invalid value"; "negative tokens")]
-#[test_case("{\"model\":\"m\",\"messages\":[{}],\"stream\":\"yes\"}", "expected a boolean"; "stream as text")]
-fn bad_bodies_say_what_is_wrong(body: &str, says: &str) {
+#[test_case("{\"model\":\"m\",\"messages\":[{}],\"stream\":\"yes\"}", "expected a boolean"; "stream is a string")]
+fn bad_bodies_are_refused_with_the_reason(body: &str, reason: &str) {
     let error = parse("acme", body.as_bytes()).unwrap_err().to_string();
-    assert!(error.contains(says), "{error}");
+    assert!(error.contains(reason), "{error}");
 }
 
 #[test]
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_streaming_body_goes_on_unchanged() {
+fn streaming_body_is_forwarded_unchanged() {
     let body = br#"{ "stream": true, "model": "m", "messages": [{"content": "hi"}] }"#;
     let chat = parse("acme", body).unwrap();
     assert!(chat.stream);
--- a/src/serve/callers/entry.rs
+++ b/src/serve/callers/entry.rs
@@ -1,8 +1,8 @@
-//! Which addresses a caller should use: the homes of its chat's first upstreams.
+//! Entry queries: the addresses a caller should use, which are the homes of its chat's first upstreams.
 //!
-//! Load pattern: no balancer stands in front, and one account is larger than all others together.
-//! Answers by account would send all its callers to one host; answers by chat spread them as the
-//! chats themselves are spread, and the usual request makes no hop.
+//! Load pattern: there is no load balancer in front, and one account is larger than all others
+//! together. Answers by account would send all its callers to one host. Answers by chat spread them
+//! like the chats themselves, and most requests need no hop.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
 use crate::serve::route::dispatch::Dispatch;
 use crate::util;
 
-/// One and two to fall back on: two hosts lost at once still cost no caller more than two short
-/// connect failures, and a longer list would only be older at its end.
+/// One address and two fallbacks: if two hosts fail at once, a caller meets at most two short connect
+/// failures. Further addresses would more likely be stale.
 const ENTRY_ADDRESSES: usize = 3;
 
 #[derive(Serialize)]
 struct EntryReply {
     ttl_ms: u32,
     addresses: Vec<EntryAddress>,
-    /// Begins idempotency keys that only the router at `run_addr` runs, also when the log is down.
+    /// Prefix for idempotency keys that only the router at `run_addr` runs, even if the log is down.
     run_prefix: String,
     run_addr: String,
 }
@@ -41,9 +41,9 @@
     pub(crate) data_center: String,
 }
 
-/// What a caller wants to send next; all fields may be empty.
+/// The request that a caller wants to send next; all fields may be empty.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ask {
+pub(crate) struct EntryQuery {
     pub(crate) account: String,
     pub(crate) chat: String,
     pub(crate) model: String,
@@ -52,25 +52,25 @@
     pub(crate) path: String,
 }
 
-impl Ask {
+impl EntryQuery {
     fn parse(account: &str, query: &str) -> Self {
-        let mut ask = Self {
+        let mut entry = Self {
             account: account.to_owned(),
             ..Self::default()
         };
         for (name, value) in form_urlencoded::parse(query.as_bytes()) {
             match &*name {
-                "chat" => ask.chat = value.into_owned(),
-                "model" => ask.model = value.into_owned(),
-                "adapter" => ask.adapter = value.into_owned(),
-                "path" => ask.path = value.into_owned(),
+                "chat" => entry.chat = value.into_owned(),
+                "model" => entry.model = value.into_owned(),
+                "adapter" => entry.adapter = value.into_owned(),
+                "path" => entry.path = value.into_owned(),
                 _ => {}
             }
         }
-        ask
+        entry
     }
 
-    /// Requests that name no chat are spread evenly rather than by account.
+    /// Returns the placement key. Requests without a chat are spread evenly rather than by account.
     fn key(&self) -> ChatKey {
         if self.chat.is_empty() {
             return ChatKey(util::hash_parts(&[&Uuid::now_v7().to_string()]));
@@ -79,67 +79,68 @@
     }
 }
 
-/// The homes of the first upstreams in the chat's order.
+/// Answers an entry query.
 pub(crate) async fn answer(
     ctx: &SharedCtx,
     dispatch: &Dispatch,
     account: &config::Account,
     query: Option<&str>,
 ) -> Response<Answer> {
-    let ask = Ask::parse(&account.name, query.unwrap_or_default());
+    let entry = EntryQuery::parse(&account.name, query.unwrap_or_default());
     let ttl_ms = ctx.settings.fleet.as_ref().map_or(0, |f| f.entry_ttl_ms);
     let (config, fleet) = (ctx.config(), ctx.fleet());
-    let warm = match service(&config, &ask) {
-        Some(service) if !ask.chat.is_empty() => {
-            dispatch.last_served(&service.name, ask.key()).await
+    let warm = match service(&config, &entry) {
+        Some(service) if !entry.chat.is_empty() => {
+            dispatch.last_served(&service.name, entry.key()).await
         }
         _ => None,
     };
-    // A router that stops hands out no more keys that only it could answer for.
-    let me = fleet
+    // A stopping router issues no more run keys, which no other router could run.
+    let this_router = fleet
         .get(&ctx.host)
         .filter(|_| ctx.drain.phase() == Phase::Serving);
     let reply = EntryReply {
         ttl_ms,
-        addresses: addresses(&config, &fleet, &ask, warm),
-        run_prefix: me.map_or_else(String::new, |_| ctx.tokens.prefix().to_owned()),
-        run_addr: me.map_or_else(String::new, |m| m.caller_addr.to_string()),
+        addresses: addresses(&config, &fleet, &entry, warm),
+        run_prefix: this_router.map_or_else(String::new, |_| ctx.run_keys.prefix().to_owned()),
+        run_addr: this_router.map_or_else(String::new, |m| m.caller_addr.to_string()),
     };
     let json = serde_json::to_string(&reply).unwrap_or_default();
     json_response(StatusCode::OK, json)
 }
 
-fn service<'a>(config: &'a ConfigView, ask: &Ask) -> Option<&'a Arc<config::Service>> {
-    let service = config.service_by_model(&ask.model);
-    service.or_else(|| config.service_by_path(&ask.path))
+fn service<'a>(config: &'a ConfigView, entry: &EntryQuery) -> Option<&'a Arc<config::Service>> {
+    let service = config.service_by_model(&entry.model);
+    service.or_else(|| config.service_by_path(&entry.path))
 }
 
-/// The addresses for `ask`, best first, each router once. The home of the upstream where the chat
-/// is `warm` goes first: new chats are levelled, so that need not be the first of its order.
+/// Returns the addresses for `entry`, best first, each router once. The home of the upstream where the
+/// chat is `warm` comes first: new chats are placed by load, so it may not be the first in the chat's
+/// order.
 pub(crate) fn addresses(
     config: &ConfigView,
     fleet: &View,
-    ask: &Ask,
+    entry: &EntryQuery,
     warm: Option<Name>,
 ) -> Vec<EntryAddress> {
-    let key = ask.key();
-    let pool = service(config, ask).and_then(|s| config.pool(&s.name));
+    let key = entry.key();
+    let pool = service(config, entry).and_then(|s| config.pool(&s.name));
     let pool = pool.cloned();
     let pool = pool.unwrap_or_default();
-    let stay = pool.names.iter().filter(|name| !fleet.is_leaving(name));
-    let stay: Vec<Name> = stay.cloned().collect();
-    let order = placement::order(key, &stay);
-    let warm = warm.filter(|name| stay.contains(name));
-    let firsts = warm.iter().chain(&order).filter_map(|name| {
+    let available = pool.names.iter().filter(|name| !fleet.is_leaving(name));
+    let available: Vec<Name> = available.cloned().collect();
+    let order = placement::order(key, &available);
+    let warm = warm.filter(|name| available.contains(name));
+    let preferred = warm.iter().chain(&order).filter_map(|name| {
         let upstream = pool.upstreams.get(name)?;
         homes::home(fleet, name, &upstream.data_center)
     });
     let rest = homes::order(fleet, &key.0.to_string(), "");
-    // Without any router that takes work, those that still leave serve for a while.
+    // If no router takes new work, routers that are leaving still serve for a while.
     let leaving = fleet.members.iter();
     let leaving = leaving.filter(|m| m.state == MemberState::Leaving);
     let mut found: Vec<&Member> = Vec::with_capacity(ENTRY_ADDRESSES);
-    for member in firsts.chain(rest) {
+    for member in preferred.chain(rest) {
         if found.len() < ENTRY_ADDRESSES && found.iter().all(|m| m.host != member.host) {
             found.push(member);
         }
--- a/src/serve/callers/headers.rs
+++ b/src/serve/callers/headers.rs
@@ -1,4 +1,4 @@
-//! The headers by which a caller steers its request, checked one by one.
+//! Parses and checks the headers with which a caller sets options of its request.
 
 use http::HeaderMap;
 use snafu::Snafu;
@@ -7,21 +7,21 @@
 use crate::decide::Priority;
 use crate::schema::config::Account;
 
-/// Marks repeats of one request; at most [`MAX_KEY_BYTES`] of visible ASCII.
+/// Identifies repeats of one request; at most [`MAX_KEY_BYTES`] of visible ASCII.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// "urgent", "normal" or "batch".
 pub(crate) const PRIORITY: &str = "x-priority";
-/// How long the caller waits, in milliseconds.
+/// The request's deadline, in milliseconds from its receipt.
 pub(crate) const DEADLINE_MS: &str = "x-deadline-ms";
 
-/// The longest idempotency key: claims carry it on the platform's log.
+/// The longest idempotency key. Keys are written to the platform's log with their claims.
 pub(crate) const MAX_KEY_BYTES: usize = 255;
-/// An hour: no caller waits longer, and a longer figure is a mistake of units.
+/// One hour: no caller waits longer, and a larger value is a mistake of units.
 pub(crate) const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// More headers than any customary client sends.
+/// More headers than common clients send.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// Bytes that each header line adds to its name and value: colon, space and line end.
+/// Bytes that each header line needs beyond its name and value: colon, space and line end.
 const LINE_BYTES: usize = 4;
 
 /// Why a caller's headers are refused.
@@ -29,7 +29,7 @@
 pub(crate) enum HeaderError {
     #[snafu(display("headers: {bytes} bytes, more than {max}"))]
     TooLarge { bytes: usize, max: usize },
-    #[snafu(display("headers: {count} of them, more than {MAX_HEADERS}"))]
+    #[snafu(display("headers: {count} lines, more than {MAX_HEADERS}"))]
     TooMany { count: usize },
     #[snafu(display("{name}: given more than once"))]
     Repeated { name: &'static str },
@@ -42,21 +42,21 @@
 }
 
 impl HeaderError {
-    /// Whether a bound was broken, rather than a form.
-    pub(crate) fn is_size(&self) -> bool {
+    /// Whether a size limit was exceeded, rather than a value malformed.
+    pub(crate) fn is_size_limit(&self) -> bool {
         matches!(self, Self::TooLarge { .. } | Self::TooMany { .. })
     }
 }
 
-/// What a caller asks for by header.
+/// Options that a caller sets by header.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) struct Wishes {
+pub(crate) struct RequestOptions {
     pub(crate) idempotency_key: String,
     pub(crate) priority: Priority,
     pub(crate) deadline_ms: u64,
 }
 
-/// Checks the bounds on a request's headers.
+/// Checks the limits on the number and size of a request's headers.
 pub(crate) fn check_size(headers: &HeaderMap, max_bytes: usize) -> Result<(), HeaderError> {
     let count = headers.len();
     if count > MAX_HEADERS {
@@ -77,43 +77,43 @@
     Ok(())
 }
 
-/// Reads what the caller asks for; a priority above the account's own is lowered to it.
-pub(crate) fn wishes(
+/// Parses the caller's options; a priority above the account's own is lowered to it.
+pub(crate) fn options(
     headers: &HeaderMap,
     account: &Account,
     default_deadline_ms: u64,
-) -> Result<Wishes, HeaderError> {
-    let asked = match single(headers, PRIORITY)? {
+) -> Result<RequestOptions, HeaderError> {
+    let requested = match single(headers, PRIORITY)? {
         None => Priority::default(),
-        Some(given) => given.parse().map_err(|_| HeaderError::UnknownPriority)?,
+        Some(text) => text.parse().map_err(|_| HeaderError::UnknownPriority)?,
     };
     let deadline_ms = match single(headers, DEADLINE_MS)? {
         None => default_deadline_ms,
-        Some(given) => deadline(given)?,
+        Some(text) => deadline(text)?,
     };
-    Ok(Wishes {
+    Ok(RequestOptions {
         idempotency_key: single(headers, IDEMPOTENCY_KEY)?
             .unwrap_or_default()
             .to_owned(),
         // The order is from most to least urgent.
-        priority: asked.max(allowed(account)),
+        priority: requested.max(allowed_priority(account)),
         deadline_ms,
     })
 }
 
-/// The most urgent class `account` may use; "normal" where none is set.
-pub(crate) fn allowed(account: &Account) -> Priority {
+/// Returns the most urgent priority that `account` may use; "normal" if none is set.
+pub(crate) fn allowed_priority(account: &Account) -> Priority {
     account.priority.parse().unwrap_or_default()
 }
 
-fn deadline(given: &str) -> Result<u64, HeaderError> {
-    let digits = given.bytes().all(|b| b.is_ascii_digit());
-    let ms = given.parse().ok().filter(|_| digits);
+fn deadline(text: &str) -> Result<u64, HeaderError> {
+    let digits = text.bytes().all(|b| b.is_ascii_digit());
+    let ms = text.parse().ok().filter(|_| digits);
     ms.filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))
         .ok_or(HeaderError::BadDeadline)
 }
 
-/// The value of a header that may stand once.
+/// Returns the value of a header that may occur at most once.
 fn single<'h>(headers: &'h HeaderMap, name: &'static str) -> Result<Option<&'h str>, HeaderError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
--- a/src/serve/callers/headers_tests.rs
+++ b/src/serve/callers/headers_tests.rs
@@ -19,19 +19,19 @@
     }
 }
 
-#[test_case("", "", Priority::Normal; "nothing asked, nothing set")]
-#[test_case("", "urgent", Priority::Normal; "urgent is capped where nothing is set")]
-#[test_case("urgent", "urgent", Priority::Urgent; "urgent is granted")]
-#[test_case("urgent", "batch", Priority::Batch; "less than granted may be asked")]
+#[test_case("", "", Priority::Normal; "none requested, none set")]
+#[test_case("", "urgent", Priority::Normal; "urgent is capped if none is set")]
+#[test_case("urgent", "urgent", Priority::Urgent; "urgent is allowed")]
+#[test_case("urgent", "batch", Priority::Batch; "a lower priority may be requested")]
 #[test_case("batch", "urgent", Priority::Batch; "batch accounts stay batch")]
-#[test_case("batch", "", Priority::Batch; "batch accounts are batch without asking")]
-fn priority_is_capped(granted: &str, asked: &str, got: Priority) {
-    let given = match asked {
+#[test_case("batch", "", Priority::Batch; "batch accounts default to batch")]
+fn priority_is_capped_by_the_account(allowed: &str, requested: &str, expected: Priority) {
+    let sent = match requested {
         "" => HeaderMap::new(),
-        asked => headers(&[(PRIORITY, asked)]),
+        requested => headers(&[(PRIORITY, requested)]),
     };
-    let wishes = wishes(&given, &account(granted), 1).unwrap();
-    assert_eq!(wishes.priority, got);
+    let options = options(&sent, &account(allowed), 1).unwrap();
+    assert_eq!(options.priority, expected);
 }
 
 #[test_case(&[(PRIORITY, "URGENT!")], "x-priority: must be one of urgent, normal, batch"; "priority")]
@@ -43,24 +43,24 @@
 #[test_case(&[(IDEMPOTENCY_KEY, "a"), (IDEMPOTENCY_KEY, "a")], "idempotency-key: given more than once"; "key twice")]
 #[test_case(&[(IDEMPOTENCY_KEY, "")], "idempotency-key: must be 1 to 255 visible ASCII characters"; "empty key")]
 #[test_case(&[(IDEMPOTENCY_KEY, "z\u{fc}g")], "idempotency-key: must be 1 to 255 visible ASCII characters"; "key beyond ASCII")]
-fn bad_headers_name_the_field(given: &[(&'static str, &str)], says: &str) {
-    let error = wishes(&headers(given), &account("urgent"), 1).unwrap_err();
-    assert_eq!(error.to_string(), says);
-    assert!(!error.is_size());
+fn bad_headers_are_refused_by_name(sent: &[(&'static str, &str)], message: &str) {
+    let error = options(&headers(sent), &account("urgent"), 1).unwrap_err();
+    assert_eq!(error.to_string(), message);
+    assert!(!error.is_size_limit());
 }
 
 #[test]
-fn long_keys_are_refused() {
+fn keys_over_the_length_limit_are_refused() {
     let key = "k".repeat(MAX_KEY_BYTES + 1);
-    let given = headers(&[(IDEMPOTENCY_KEY, &key)]);
-    assert!(wishes(&given, &account(""), 1).is_err());
+    let sent = headers(&[(IDEMPOTENCY_KEY, &key)]);
+    assert!(options(&sent, &account(""), 1).is_err());
 }
 
 #[test]
-fn count_and_bytes_are_bounded() {
+fn header_count_and_size_are_limited() {
     let fits = headers(&[("a", "12345"), ("b", "12345")]);
     assert_eq!(check_size(&fits, 20), Ok(()));
-    assert!(check_size(&fits, 19).unwrap_err().is_size());
+    assert!(check_size(&fits, 19).unwrap_err().is_size_limit());
     let many = headers(&vec![("a", ""); MAX_HEADERS + 1]);
-    assert!(check_size(&many, 1 << 20).unwrap_err().is_size());
+    assert!(check_size(&many, 1 << 20).unwrap_err().is_size_limit());
 }
--- a/src/serve/callers/mod.rs
+++ b/src/serve/callers/mod.rs
@@ -1,7 +1,7 @@
-//! Callers that speak the project's own HTTP: chats, plain requests and entry questions.
+//! The callers' HTTP interface: chats, plain requests and entry queries.
 //!
-//! Read in the order of a request's way: this module holds the connection, `requests` checks
-//! headers, account and body, `answers` passes what comes back on.
+//! This module serves the connection, `requests` checks headers, account and body and has the request
+//! routed, and `answers` returns the answer to the caller.
 
 pub(crate) mod answers;
 mod chat;
@@ -29,10 +29,10 @@
 use crate::serve::callers::requests::Requests;
 use crate::serve::route::dispatch::Dispatch;
 
-/// When a caller that met the connection limit may try again.
+/// Retry delay for a caller refused by the connection limit.
 const FULL_RETRY_MS: u64 = 1_000;
 
-/// Serves callers.
+/// The listener for callers.
 pub(crate) struct Callers {
     addr: SocketAddr,
 }
@@ -64,7 +64,7 @@
 
 async fn serve(stream: TcpStream, ctx: SharedCtx, requests: Requests, place: Place) {
     if let Err(e) = stream.set_nodelay(true) {
-        log::debug!("caller's connection with delayed writes: {e}");
+        log::debug!("setting TCP_NODELAY on a caller's connection failed: {e}");
     }
     let limits = ctx.settings.limits.unwrap_or_default();
     let head_time = Duration::from_millis(limits.header_timeout_ms.into());
--- a/src/serve/callers/refusal.rs
+++ b/src/serve/callers/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers of the own dialects see them; whole seconds to come back.
+//! Refusals as HTTP responses to callers, with the retry delay in whole seconds.
 
 use http::Response;
 
@@ -32,7 +32,7 @@
     words(refused, request_id).response(status(cause(refused)), seconds.into())
 }
 
-/// A refusal for a caller whose request is not read.
+/// Returns the raw response for a caller whose request is not read.
 pub(crate) fn raw(refused: &peer::Refusal) -> Vec<u8> {
     let seconds = refused.retry_after_ms.div_ceil(SECOND_MS).to_string();
     words(refused, "").raw(status(cause(refused)), &seconds)
--- a/src/serve/callers/refusal_tests.rs
+++ b/src/serve/callers/refusal_tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[compio::test]
-async fn every_cause_makes_a_typed_refusal() {
+async fn every_cause_gives_a_typed_refusal() {
     for cause in Cause::iter() {
         for retry_after_ms in [0, 1, 1_500] {
             let refused = explained(&Refusal::not_run(cause, retry_after_ms));
@@ -25,8 +25,8 @@
             assert!(code.is_client_error() || code.is_server_error(), "{cause}");
             let retry = response.headers().get(RETRY_AFTER).cloned();
             let seconds = retry.map(|v| v.to_str().unwrap().parse::<u64>().unwrap());
-            let wanted = (retry_after_ms > 0).then(|| retry_after_ms.div_ceil(1_000));
-            assert_eq!(seconds, wanted, "{cause}");
+            let expected = (retry_after_ms > 0).then(|| retry_after_ms.div_ceil(1_000));
+            assert_eq!(seconds, expected, "{cause}");
             let error = &body(response).await["error"];
             assert_eq!(error["cause"], cause.to_string());
             assert_eq!(error["run_state"], "not_run");
@@ -34,14 +34,14 @@
             assert_eq!(error["request_id"], "r-1");
             assert!(!error["message"].as_str().unwrap().is_empty());
         }
-        let shown = OPERATIONS.contains(&format!("`{cause}`"));
-        assert!(shown, "docs/OPERATIONS.md lacks {cause}");
+        let documented = OPERATIONS.contains(&format!("`{cause}`"));
+        assert!(documented, "docs/OPERATIONS.md lacks {cause}");
     }
 }
 
-/// What a caller gets whose request isn't read must be a whole response too.
+/// A caller whose request is not read must still receive a complete response.
 #[test]
-fn a_raw_refusal_announces_its_length() {
+fn raw_refusal_has_its_content_length() {
     let refused = explained(&Refusal::not_run(Cause::ConnectionLimit, 1_000));
     let text = String::from_utf8(raw(&refused)).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
--- a/src/serve/callers/requests.rs
+++ b/src/serve/callers/requests.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its headers to its answer or a typed refusal.
+//! Handles one caller's request: checks it, routes it, and returns its answer or a typed refusal.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use crate::schema::peer::Forward;
 use crate::schema::{config, peer};
 use crate::serve::callers::chat::{self, Chat};
-use crate::serve::callers::headers::{self, HeaderError, Wishes};
+use crate::serve::callers::headers::{self, HeaderError, RequestOptions};
 use crate::serve::callers::{answers, entry, refusal};
-use crate::serve::home::upstream::{REQUEST_ID, pass_headers};
+use crate::serve::home::upstream::{REQUEST_ID, end_to_end_headers};
 use crate::serve::route::dispatch::Dispatch;
-use crate::serve::route::once::Once;
+use crate::serve::route::once::AtMostOnce;
 use crate::serve::route::{keys, resume};
 use crate::serve::{SharedCtx, stop};
 use crate::stats::{self, Tally};
@@ -32,26 +32,26 @@
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const ENTRY_PATH: &str = "/v1/entry";
-/// How long the rest of a refused request's body is read and thrown away.
-const DRAIN: Duration = Duration::from_secs(1);
+/// How long the rest of a refused request's body is read and discarded.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers callers' requests.
 #[derive(Clone)]
 pub(crate) struct Requests {
     ctx: SharedCtx,
     dispatch: Dispatch,
-    once: Once,
+    at_most_once: AtMostOnce,
 }
 
 type Answered = Result<Response<Answer>, peer::Refusal>;
 
 impl Requests {
     pub(crate) fn new(ctx: SharedCtx, dispatch: Dispatch) -> Self {
-        let once = Once::new(ctx.clone(), dispatch.clone());
+        let at_most_once = AtMostOnce::new(ctx.clone(), dispatch.clone());
         Self {
             ctx,
             dispatch,
-            once,
+            at_most_once,
         }
     }
 
@@ -66,8 +66,8 @@
             Ok(response) => response,
             Err(refused) => {
                 tally.refused();
-                self.refused(&request_id, &refused);
-                drain(body);
+                self.record_refusal(&request_id, &refused);
+                discard(body);
                 refusal::response(&refused, &request_id)
             }
         };
@@ -105,11 +105,11 @@
                 Ok(answer)
             }
             _ if let Err(refused) = stop::admit(&self.ctx.drain) => {
-                Err(keys::in_doubt_if_keyed(&parts.headers, refused))
+                Err(keys::run_state_unknown_if_keyed(&parts.headers, refused))
             }
             (&Method::POST, CHAT_PATH) => self.chat(request_id, &account, parts, body, tally).await,
             (_, ENTRY_PATH | CHAT_PATH) => {
-                let detail = format!("{}: no such method at this path", parts.method);
+                let detail = format!("{}: method not allowed at this path", parts.method);
                 Err(refuse::not_run(Cause::BadRequest, 0, detail))
             }
             _ => self.plain(request_id, &account, parts, body, tally).await,
@@ -117,15 +117,15 @@
     }
 
     fn account(&self, headers: &HeaderMap) -> Result<config::Account, peer::Refusal> {
-        if !self.ctx.knows_configuration() {
+        if !self.ctx.has_configuration() {
             let retry_ms = spread_ms(STARTING_MS, &mut rand::rng());
             let detail = "no configuration is known yet";
             let refused = refuse::not_run(Cause::NoUpstream, retry_ms, detail);
-            return Err(keys::in_doubt_if_keyed(headers, refused));
+            return Err(keys::run_state_unknown_if_keyed(headers, refused));
         }
         let denied = || refuse::not_run(Cause::Unauthorized, 0, "no account has this key");
-        let given = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
-        let key = given.and_then(|v| v.strip_prefix("Bearer "));
+        let received = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
+        let key = received.and_then(|v| v.strip_prefix("Bearer "));
         let digest = Sha256::digest(key.ok_or_else(denied)?.as_bytes());
         let hex: String = digest.iter().map(|b| format!("{b:02x}")).collect();
         let config = self.ctx.config();
@@ -133,7 +133,7 @@
         if account.suspended {
             let detail = format!("account {} is suspended", account.name);
             let refused = refuse::not_run(Cause::AccountSuspended, 0, detail);
-            return Err(keys::in_doubt_if_keyed(headers, refused));
+            return Err(keys::run_state_unknown_if_keyed(headers, refused));
         }
         Ok(config::Account::clone(account))
     }
@@ -146,7 +146,7 @@
         body: &mut Incoming,
         tally: &mut Tally,
     ) -> Answered {
-        let wishes = self.wishes(parts, account)?;
+        let options = self.options(parts, account)?;
         let body = self.read(&parts.headers, body).await?;
         let chat = chat::parse(&account.name, &body)
             .map_err(|e| refuse::not_run(Cause::BadRequest, 0, e.to_string()))?;
@@ -157,9 +157,9 @@
         })?;
         tally.service(&service.name);
         let stream = chat.stream;
-        let mut forward = self.forward(request_id, account, &service.name, parts, wishes);
+        let mut forward = self.forward(request_id, account, &service.name, parts, options);
         fill_chat(&mut forward, chat);
-        let started = resume::answer(&self.ctx, &self.dispatch, forward).await?;
+        let started = resume::route(&self.ctx, &self.dispatch, forward).await?;
         tally.first_byte();
         if stream {
             return answers::streamed(&self.ctx, request_id, started, tally.take());
@@ -184,22 +184,26 @@
             refuse::not_run(Cause::UnknownService, 0, detail)
         })?;
         tally.service(&service.name);
-        let wishes = self.wishes(parts, account)?;
+        let options = self.options(parts, account)?;
         let body = self.read(&parts.headers, body).await?;
-        let mut forward = self.forward(request_id, account, &service.name, parts, wishes);
+        let mut forward = self.forward(request_id, account, &service.name, parts, options);
         forward.method = parts.method.to_string();
         path.clone_into(&mut forward.path);
         forward.body = body.to_vec();
         forward.chat_key = util::hash_parts(&[request_id]);
-        let started = self.once.route(service, forward).await?;
+        let started = self.at_most_once.route(service, forward).await?;
         tally.first_byte();
-        answers::passed_on(&self.ctx, request_id, started, tally.take())
+        answers::relayed(&self.ctx, request_id, started, tally.take())
     }
 
-    fn wishes(&self, parts: &Parts, account: &config::Account) -> Result<Wishes, peer::Refusal> {
+    fn options(
+        &self,
+        parts: &Parts,
+        account: &config::Account,
+    ) -> Result<RequestOptions, peer::Refusal> {
         let limits = self.ctx.settings.limits.unwrap_or_default();
         let default_ms = limits.default_deadline_ms.into();
-        headers::wishes(&parts.headers, account, default_ms).map_err(|e| bad_headers(&e))
+        headers::options(&parts.headers, account, default_ms).map_err(|e| bad_headers(&e))
     }
 
     fn forward(
@@ -208,17 +212,17 @@
         account: &config::Account,
         service: &str,
         parts: &Parts,
-        wishes: Wishes,
+        options: RequestOptions,
     ) -> Forward {
         Forward {
             request_id: request_id.to_owned(),
             from_host: self.ctx.host.to_string(),
             account: account.name.clone(),
             service: service.to_owned(),
-            headers: pass_headers(&parts.headers),
-            idempotency_key: wishes.idempotency_key,
-            priority: wishes.priority.to_string(),
-            remaining_ms: wishes.deadline_ms,
+            headers: end_to_end_headers(&parts.headers),
+            idempotency_key: options.idempotency_key,
+            priority: options.priority.to_string(),
+            remaining_ms: options.deadline_ms,
             ..Forward::default()
         }
     }
@@ -230,7 +234,7 @@
         read.map_err(|e| malformed(&e))
     }
 
-    fn refused(&self, request_id: &str, refused: &peer::Refusal) {
+    fn record_refusal(&self, request_id: &str, refused: &peer::Refusal) {
         stats::refused(&refused.cause);
         if refused.run_state.parse() == Ok(RunState::Unknown) {
             let detail = &refused.detail;
@@ -248,7 +252,7 @@
 }
 
 fn bad_headers(error: &HeaderError) -> peer::Refusal {
-    let cause = if error.is_size() {
+    let cause = if error.is_size_limit() {
         Cause::TooLarge
     } else {
         Cause::BadRequest
@@ -256,16 +260,16 @@
     refuse::not_run(cause, 0, error.to_string())
 }
 
-/// Throws the rest of a refused request's body away for a while: closing on unread bytes would
-/// reset the connection, and the caller would lose the refusal on its way.
-fn drain(mut body: Incoming) {
+/// Reads and discards the rest of a refused request's body. Closing with unread bytes would reset the
+/// connection before the caller has received the refusal.
+fn discard(mut body: Incoming) {
     if body.is_end_stream() {
         return;
     }
     let rest = async move { while let Some(Ok(_)) = body.frame().await {} };
     compio::runtime::spawn(async move {
-        // Past the limit the connection is closed: a slow sender holds no more.
-        let _ = compio::time::timeout(DRAIN, rest).await;
+        // After the timeout the connection is closed, so that a slow sender does not occupy it.
+        let _ = compio::time::timeout(DISCARD_TIMEOUT, rest).await;
     })
     .detach();
 }
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -1,4 +1,4 @@
-//! A request at its upstream's home: quarantine, the account's share, the queue, the call.
+//! Admission of a request at its upstream's home: quarantine check, account limit, queue, call.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -19,41 +19,41 @@
 use crate::schema::peer::Forward;
 use crate::schema::peer::frame::Body;
 use crate::serve::SharedCtx;
-use crate::serve::home::limits::Accounts;
+use crate::serve::home::limits::AccountLimits;
 use crate::serve::home::messages::Permit;
 use crate::serve::home::suspects::{self, Suspects};
 use crate::serve::home::upstream::Call;
 use crate::serve::home::{Homes, kv};
 use crate::{stats, util};
 
-const CHANNEL: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Admits requests to the upstreams that this router is home to.
 pub(crate) struct Admission {
     ctx: SharedCtx,
     homes: Homes,
-    accounts: Accounts,
+    accounts: AccountLimits,
     suspects: Suspects,
     http: cyper::Client,
     next_job: Cell<u64>,
 }
 
 /// How a call ended.
-enum Ended {
-    Whole,
-    /// It was refused or failed, and nothing broke.
+enum CallEnd {
+    Complete,
+    /// The request was refused or failed, and was surely not run.
     Refused,
-    /// The connection broke off midway.
-    Broken(peer::Refusal),
-    CallerGone,
+    /// The connection was lost and the request may have run.
+    Interrupted(peer::Refusal),
+    CallerDisconnected,
 }
 
 impl Admission {
     pub(crate) fn new(
         ctx: SharedCtx,
         homes: Homes,
-        accounts: Accounts,
+        accounts: AccountLimits,
         peers: PeerClient,
         http: cyper::Client,
     ) -> Self {
@@ -67,16 +67,16 @@
         }
     }
 
-    /// Takes a conviction that another router tells.
-    pub(crate) fn told(&self, suspicion: &peer::Suspicion) -> peer::Done {
-        self.suspects.told(suspicion)
+    /// Records a conviction received from another router.
+    pub(crate) fn add_conviction(&self, suspicion: &peer::Suspicion) -> peer::Done {
+        self.suspects.add_conviction(suspicion)
     }
 
-    /// Runs `forward` here, or tells why not.
+    /// Admits and runs `forward` here, or sends a refusal.
     pub(crate) async fn run(&self, forward: Forward, tx: mpsc::Sender<Body>) {
         if let Err(mut refused) = self.admit(&forward, &tx).await {
             refused.load = self.homes.load(&forward.upstream);
-            // The caller may have gone: then nobody needs the refusal.
+            // Fails only if the caller has disconnected.
             let _ = tx.send(Body::Refused(refused)).await;
         }
     }
@@ -84,40 +84,46 @@
     async fn admit(&self, forward: &Forward, tx: &mpsc::Sender<Body>) -> Result<(), peer::Refusal> {
         let config = self.ctx.config();
         let upstream = config.upstream(&forward.service, &forward.upstream);
-        let unknown = || refuse::not_run(Cause::NoUpstream, 1_000, "the upstream isn't known here");
-        let upstream = upstream.cloned().ok_or_else(unknown)?;
-        self.check_stays(forward)?;
-        let suspect = self.check(forward)?;
+        let absent = || {
+            refuse::not_run(
+                Cause::NoUpstream,
+                1_000,
+                "the upstream is not configured at this router",
+            )
+        };
+        let upstream = upstream.cloned().ok_or_else(absent)?;
+        self.check_takes_work(forward)?;
+        let suspect = self.check_quarantine(forward)?;
         let running = self.accounts.begin(&forward.account);
-        let _running =
-            running.map_err(|r| refuse::message(&r, "the account has too many at once"))?;
-        let waited = Instant::now();
+        let _running = running
+            .map_err(|r| refuse::message(&r, "the account's concurrency limit is reached"))?;
+        let queued = Instant::now();
         let job = self.job(forward, suspect);
         let permit = {
             let admit = self.homes.admit(&upstream, job);
-            let gone = tx.closed();
-            pin_mut!(admit, gone);
-            match select(admit, gone).await {
-                Either::Left((verdict, _)) => verdict.map_err(|r| told(&r))?,
-                // Dropping the wait takes the job out of the queue.
+            let closed = tx.closed();
+            pin_mut!(admit, closed);
+            match select(admit, closed).await {
+                Either::Left((admitted, _)) => admitted.map_err(|r| explained(&r))?,
+                // Dropping `admit` removes the job from the queue.
                 Either::Right(_) => return Ok(()),
             }
         };
-        stats::queue_wait(waited.elapsed());
-        // It may have left while the request waited.
-        self.check_stays(forward)?;
+        stats::queue_wait(queued.elapsed());
+        // The upstream may have started leaving while the request was queued.
+        self.check_takes_work(forward)?;
         self.ctx
             .events
             .emit_request(Kind::RequestStarted, forward, |e| {
-                e.took_us = util::micros(waited.elapsed());
+                e.took_us = util::micros(queued.elapsed());
             });
-        self.import(forward, &upstream).await;
+        self.import_cache(forward, &upstream).await;
         self.call(forward, upstream, suspect, permit, tx).await
     }
 
-    /// Refuses when the upstream takes no new work: by the configuration, by the platform's list
-    /// or by its own word. The sender may not know yet, so the home looks again.
-    fn check_stays(&self, forward: &Forward) -> Result<(), peer::Refusal> {
+    /// Refuses if the upstream takes no new work, according to the configuration, the platform's list
+    /// or its own report. The forwarding router's view may be stale, so the home checks again.
+    fn check_takes_work(&self, forward: &Forward) -> Result<(), peer::Refusal> {
         let config = self.ctx.config();
         let upstream = config.upstream(&forward.service, &forward.upstream);
         let takes_work = upstream.is_some_and(|u| config.takes_work(u));
@@ -128,15 +134,15 @@
         Ok(())
     }
 
-    /// Whether the request is a suspect; refuses a convict.
-    fn check(&self, forward: &Forward) -> Result<bool, peer::Refusal> {
+    /// Returns whether the request is a suspect; refuses it if it is convicted.
+    fn check_quarantine(&self, forward: &Forward) -> Result<bool, peer::Refusal> {
         let fingerprint = suspects::fingerprint(forward);
         match self.suspects.standing(fingerprint, forward.deaths) {
             Standing::Free => Ok(false),
             Standing::Suspect => Ok(true),
             Standing::Convicted { left_ms } => {
                 let refusal = Quarantine::refusal(left_ms, &mut rand::rng());
-                let detail = "upstreams died each time they ran this request";
+                let detail = "upstreams crashed while running this request";
                 Err(refuse::message(&refusal, detail))
             }
         }
@@ -160,8 +166,9 @@
         }
     }
 
-    /// Brings a displaced chat's cache along. A failure costs a prefill, so it only gets a log line.
-    async fn import(&self, forward: &Forward, to: &Upstream) {
+    /// Transfers the cache of a chat that moved here. A failure costs only a prefill, so it is logged
+    /// and ignored.
+    async fn import_cache(&self, forward: &Forward, to: &Upstream) {
         let config = self.ctx.config();
         let from = config.upstream(&forward.service, &forward.warm_at);
         let is_evacuated = |u: &Upstream| !u.draining && !config.takes_work(u);
@@ -173,7 +180,7 @@
             Ok(tokens) => self.ctx.events.emit_request(Kind::KvMoved, forward, |e| {
                 e.detail = format!("{tokens} tokens from {}", from.name);
             }),
-            Err(e) => log::debug!("cache not moved from {}: {e}", from.name),
+            Err(e) => log::debug!("cache transfer from {} failed: {e}", from.name),
         }
     }
 
@@ -188,7 +195,7 @@
         let config = self.ctx.config();
         let service = config.service(&forward.service);
         let suspect = suspect.then(|| self.suspects.begin(&upstream.name));
-        let (inner, frames) = mpsc::channel(CHANNEL);
+        let (inner, frames) = mpsc::channel(CHANNEL_CAPACITY);
         let call = Call {
             ctx: self.ctx.clone(),
             http: self.http.clone(),
@@ -197,60 +204,60 @@
             forward: forward.clone(),
             tx: inner,
         };
-        let ((), ended) = join(call.run(), self.pass_on(forward, frames, tx)).await;
-        match ended {
-            Ended::Whole => {
+        let ((), end) = join(call.run(), self.relay(forward, frames, tx)).await;
+        match end {
+            CallEnd::Complete => {
                 let fingerprint = suspects::fingerprint(forward);
                 self.suspects.succeeded(fingerprint);
                 Ok(())
             }
-            Ended::CallerGone => Ok(()),
-            Ended::Refused => {
+            CallEnd::CallerDisconnected => Ok(()),
+            CallEnd::Refused => {
                 permit.failed();
                 Ok(())
             }
-            Ended::Broken(refused) => {
+            CallEnd::Interrupted(refused) => {
                 permit.failed();
                 let suspects = &self.suspects;
                 Err(suspects
-                    .broke_off(forward, &upstream, suspect, refused)
+                    .connection_lost(forward, &upstream, suspect, refused)
                     .await)
             }
         }
     }
 
-    /// Passes an answer on to its caller, all but a break, which is judged first.
-    async fn pass_on(
+    /// Relays an answer to its caller. An interruption is returned instead, for the quarantine check.
+    async fn relay(
         &self,
         forward: &Forward,
         mut frames: Frames,
         tx: &mpsc::Sender<Body>,
-    ) -> Ended {
+    ) -> CallEnd {
         while let Some(mut body) = next_wanted(&mut frames, tx).await {
-            let ended = match &mut body {
+            let end = match &mut body {
                 Body::Head(head) => {
                     head.load = self.homes.load(&forward.upstream);
                     None
                 }
                 Body::Chunk(_) => None,
-                Body::End(_) => Some(Ended::Whole),
+                Body::End(_) => Some(CallEnd::Complete),
                 Body::Refused(refused) if !refuse::surely_not_run(refused) => {
-                    return Ended::Broken(std::mem::take(refused));
+                    return CallEnd::Interrupted(std::mem::take(refused));
                 }
-                Body::Refused(_) => Some(Ended::Refused),
+                Body::Refused(_) => Some(CallEnd::Refused),
             };
             if tx.send(body).await.is_err() {
-                return Ended::CallerGone;
+                return CallEnd::CallerDisconnected;
             }
-            if let Some(ended) = ended {
-                return ended;
+            if let Some(end) = end {
+                return end;
             }
         }
-        Ended::CallerGone
+        CallEnd::CallerDisconnected
     }
 }
 
-/// What the request is expected to cost, with nothing cached.
+/// Returns the request's expected cost, with nothing cached.
 pub(crate) fn cost(forward: &Forward) -> Cost {
     Cost {
         prompt_tokens: forward.prompt_tokens,
@@ -259,6 +266,6 @@
     }
 }
 
-fn told(refusal: &Refusal) -> peer::Refusal {
+fn explained(refusal: &Refusal) -> peer::Refusal {
     refuse::explained(refusal)
 }
--- a/src/serve/home/kv.rs
+++ b/src/serve/home/kv.rs
@@ -1,4 +1,4 @@
-//! Moves a chat's KV cache between engines.
+//! Transfers a chat's KV cache between engines.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 
 use crate::decide::ChatKey;
 
-/// A move that takes longer costs more than the prefill it spares.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// A transfer that takes longer costs more than the prefill it avoids.
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Snafu)]
 pub(crate) enum KvError {
@@ -16,9 +16,9 @@
     Call { source: cyper::Error },
     #[snafu(display("{source}"), context(false))]
     Encode { source: serde_json::Error },
-    #[snafu(display("the engine answered {status}"))]
+    #[snafu(display("the engine answered the KV export with status {status}"))]
     Refused { status: http::StatusCode },
-    #[snafu(display("the move took too long"))]
+    #[snafu(display("KV export timed out"))]
     TimedOut,
 }
 
@@ -28,8 +28,8 @@
     to: &'a str,
 }
 
-/// Asks the engine at `from` to send `chat` to the engine at `to`; both are IP numbers and ports.
-/// Returns the tokens moved.
+/// Asks the engine at `from` to send the cache of `chat` to the engine at `to`. Both are an IP
+/// address and port. Returns the number of tokens moved.
 pub(crate) async fn export(
     http: &cyper::Client,
     from: &str,
@@ -46,6 +46,6 @@
         }
         Ok(serde_json::from_slice(&response.bytes().await?)?)
     };
-    let answered = compio::time::timeout(TIMEOUT, call).await;
-    answered.unwrap_or(Err(KvError::TimedOut))
+    let exported = compio::time::timeout(EXPORT_TIMEOUT, call).await;
+    exported.unwrap_or(Err(KvError::TimedOut))
 }
--- a/src/serve/home/limits.rs
+++ b/src/serve/home/limits.rs
@@ -1,4 +1,4 @@
-//! The accounts' limits at this router, and their shares from each account's accountant.
+//! Account limits at this router, and the shares of them granted by each account's accountant.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,20 +15,20 @@
 use crate::serve::SharedCtx;
 use crate::util::Name;
 
-/// How often demand is reported: a third of the time that a share holds.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// When to come back from a concurrency limit: one of the running requests has likely ended.
-const BUSY_MS: u64 = 500;
+/// How often demand is reported: a third of a share's validity.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Retry delay at a concurrency limit; by then one of the running requests has likely ended.
+const CONCURRENCY_RETRY_MS: u64 = 500;
 
-/// A handle to the accounts.
+/// A handle to the account limits.
 #[derive(Clone)]
-pub(crate) struct Accounts {
+pub(crate) struct AccountLimits {
     ctx: SharedCtx,
     limits: Rc<RefCell<Limits>>,
     accountant: Rc<RefCell<Accountant>>,
 }
 
-/// Counts one request of an account as long as it lives.
+/// Counts one request of an account as running until dropped.
 pub(crate) struct Running {
     account: Name,
     limits: Rc<RefCell<Limits>>,
@@ -40,8 +40,8 @@
     }
 }
 
-impl Accounts {
-    /// Starts the task that reports demand.
+impl AccountLimits {
+    /// Creates the limits and starts the task that reports demand.
     pub(crate) fn spawn(ctx: SharedCtx, peers: PeerClient) -> Self {
         let accounts = Self {
             ctx,
@@ -57,8 +57,8 @@
         let limit = self.limit(account);
         let (routers, now_ms) = (self.routers(), self.ctx.clock.now_ms());
         let limits = &mut self.limits.borrow_mut();
-        let arrived = limits.arrive(&account.into(), limit, routers, now_ms);
-        arrived.map_err(refusal)
+        let admitted = limits.arrive(&account.into(), limit, routers, now_ms);
+        admitted.map_err(refusal)
     }
 
     /// Counts a request as running at an upstream that this router is home to.
@@ -77,21 +77,21 @@
         })
     }
 
-    /// Hands out shares, as the accountant of the accounts in `report`.
+    /// Grants shares, as the accountant of the accounts in `report`.
     pub(crate) fn grant(&self, report: &DemandReport) -> ShareGrant {
         let (routers, now_ms) = (self.routers(), self.ctx.clock.now_ms());
         let router = Name::from(report.host.as_str());
         let mut accountant = self.accountant.borrow_mut();
-        let share = |wanted: &AccountDemand| {
+        let share = |demanded: &AccountDemand| {
             let demand = Demand {
-                rate_per_s: wanted.rate_per_s,
-                concurrency: f64::from(wanted.concurrency),
+                rate_per_s: demanded.rate_per_s,
+                concurrency: f64::from(demanded.concurrency),
             };
-            let account = Name::from(wanted.account.as_str());
+            let account = Name::from(demanded.account.as_str());
             let limit = self.limit(&account);
             let share = accountant.report(&account, &router, demand, limit, routers, now_ms);
             AccountShare {
-                account: wanted.account.clone(),
+                account: demanded.account.clone(),
                 rate_per_s: share.rate_per_s,
                 concurrency_milli: to_milli(share.concurrency),
             }
@@ -110,19 +110,19 @@
                     demands,
                 };
                 let Some(addr) = accountant else {
-                    self.take(&self.grant(&report));
+                    self.apply_grant(&self.grant(&report));
                     continue;
                 };
                 match peers.ask(&addr, DEMAND, &report).await {
-                    Ok(grant) => self.take(&grant),
-                    // The shares decay to an even one until an accountant answers.
-                    Err(e) => log::debug!("no shares from {addr}: {e}"),
+                    Ok(grant) => self.apply_grant(&grant),
+                    // Shares decay to an even split until an accountant answers.
+                    Err(e) => log::debug!("demand report to accountant {addr} failed: {e}"),
                 }
             }
         }
     }
 
-    /// What limited accounts want, by their accountants' addresses; `None` is this router.
+    /// Returns the demand of limited accounts by their accountant's address; `None` is this router.
     fn demands(&self) -> HashMap<Option<Name>, Vec<AccountDemand>> {
         let now_ms = self.ctx.clock.now_ms();
         let fleet = self.ctx.fleet();
@@ -143,7 +143,7 @@
         by_accountant
     }
 
-    fn take(&self, grant: &ShareGrant) {
+    fn apply_grant(&self, grant: &ShareGrant) {
         let now_ms = self.ctx.clock.now_ms();
         let mut limits = self.limits.borrow_mut();
         for share in &grant.shares {
@@ -170,11 +170,12 @@
         fleet.members.iter().filter(|m| m.takes_work()).count()
     }
 
-    /// Twice as long in a fleet of hundreds, still within the time that a share holds.
+    /// Returns the time to the next report: up to twice as long in a fleet of hundreds of routers, which
+    /// is still within a share's validity.
     fn interval(&self) -> Duration {
         let stretch = 1.0 + (self.routers() as f64 / 400.0).min(1.0);
         let jitter = rand::rng().random_range(0.9..1.1);
-        INTERVAL.mul_f64(stretch * jitter)
+        REPORT_INTERVAL.mul_f64(stretch * jitter)
     }
 }
 
@@ -182,7 +183,7 @@
     let rng = &mut rand::rng();
     let retry_ms = match over {
         Over::Rate { wait_ms } => spread_ms(wait_ms, rng),
-        Over::Concurrency => spread_ms(BUSY_MS, rng),
+        Over::Concurrency => spread_ms(CONCURRENCY_RETRY_MS, rng),
     };
     Refusal::not_run(Cause::AccountLimit, retry_ms.max(1))
 }
--- a/src/serve/home/loads.rs
+++ b/src/serve/home/loads.rs
@@ -1,4 +1,4 @@
-//! The loads that this router believes in, shared by the tasks that place and admit work.
+//! The router's view of upstream loads, shared by the tasks that place and admit work.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,10 +11,10 @@
 use crate::schema::peer::{Load, LoadNow};
 use crate::util::{Clock, Name};
 
-/// Slots of an upstream whose configuration names none.
+/// Slots of an upstream whose configuration sets none.
 pub(crate) const DEFAULT_SLOTS: u32 = 32;
 
-/// The upstreams of a service that take work, with their slots.
+/// Returns the upstreams of a service that take work, with their slots.
 pub(crate) fn pool_slots(config: &ConfigView, service: &str) -> Vec<Slots> {
     let Some(pool) = config.pool(service) else {
         return Vec::new();
@@ -29,9 +29,9 @@
     pool.names.iter().map(slots).collect()
 }
 
-/// Upstreams whose load is known that make a mean of a pool worth believing, however large it is:
-/// the error of the mean of 16 is a quarter of the spread.
-const ENOUGH_KNOWN: u32 = 16;
+/// Known loads that give a usable mean for a pool of any size: the standard error of the mean of 16
+/// is a quarter of the standard deviation.
+const MIN_KNOWN_LOADS: u32 = 16;
 
 /// A handle to the shared view.
 #[derive(Clone)]
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct State {
     view: LoadView,
-    taken: Option<Arc<Loads>>,
+    applied: Option<Arc<Loads>>,
 }
 
 impl SharedLoads {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Takes what an upstream's home said of it.
-    pub(crate) fn heard(&self, upstream: &Name, load: &LoadNow) {
+    /// Records the load that an upstream's home attached to its reply.
+    pub(crate) fn record_reply(&self, upstream: &Name, load: &LoadNow) {
         let seen = Seen {
             work_ms: load.work_ms,
             in_flight: load.in_flight,
@@ -66,13 +66,13 @@
         self.set(upstream, seen);
     }
 
-    /// Takes the exact load of an upstream that this router is home to.
+    /// Records the exact load of an upstream that this router is home to.
     pub(crate) fn set(&self, upstream: &Name, seen: Seen) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().view.heard(upstream, seen, now_ms);
     }
 
-    /// Counts a job that was just sent to `upstream`.
+    /// Adds a job that was just sent to `upstream`.
     pub(crate) fn sent(&self, upstream: &Name, work_ms: f64) {
         self.state.borrow_mut().view.sent(upstream, work_ms);
     }
@@ -87,13 +87,13 @@
         self.state.borrow().view.pool_view(pool, own)
     }
 
-    /// The pool, with no bound while too little of it is known.
+    /// Returns the pool's view, with no load bound while too few loads are known.
     ///
-    /// Guards against a home that has heard no other home yet and takes its own slice for the
-    /// pool: it would send work away to others that hold more.
+    /// A home that has no reports from other homes yet would take its own upstreams' mean for the
+    /// pool's, and send work to homes with a higher load.
     pub(crate) fn bounded_view(&self, pool: &[Slots], own: (&str, Seen)) -> PoolView {
         let mut view = self.pool_view(pool, Some(own));
-        if view.known < ENOUGH_KNOWN && view.known * 2 < view.upstreams {
+        if view.known < MIN_KNOWN_LOADS && view.known * 2 < view.upstreams {
             view.mean_work_ms = f64::INFINITY;
             view.free_slots = 0;
         }
@@ -104,16 +104,16 @@
         let latest = self.gossip.loads();
         let mut state = self.state.borrow_mut();
         if state
-            .taken
+            .applied
             .as_ref()
-            .is_some_and(|t| Arc::ptr_eq(t, &latest))
+            .is_some_and(|a| Arc::ptr_eq(a, &latest))
         {
             return;
         }
         for (name, load) in &latest.by_upstream {
             state.view.reported(name, seen(load), load.seq);
         }
-        state.taken = Some(latest);
+        state.applied = Some(latest);
     }
 }
 
--- a/src/serve/home/messages.rs
+++ b/src/serve/home/messages.rs
@@ -1,4 +1,4 @@
-//! What the tasks that admit work and an upstream's home tell one another.
+//! Messages between the tasks that admit work and an upstream's home task.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use crate::decide::{Job, JobId};
 use crate::util::Name;
 
-/// Leave to call the upstream; dropping it tells the home that the job ended.
+/// Permission to call the upstream; dropping it reports to the home that the job ended.
 #[derive(Debug)]
 pub(crate) struct Permit {
     id: JobId,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The call failed.
+    /// Marks the call as failed.
     pub(crate) fn failed(&mut self) {
         self.ok = false;
     }
@@ -46,17 +46,17 @@
     }
 }
 
-pub(crate) type Verdict = Result<Permit, Refusal>;
+pub(crate) type Admitted = Result<Permit, Refusal>;
 
-/// What a home task is told.
+/// A request to a home task.
 #[derive(Debug)]
 pub(crate) enum HomeMsg {
-    Offer(Box<Job>, oneshot::Sender<Verdict>),
+    Offer(Box<Job>, oneshot::Sender<Admitted>),
     Finish(JobId, bool),
     Load(oneshot::Sender<HomeLoad>),
 }
 
-/// What a home holds now.
+/// A home's current load.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HomeLoad {
     pub(crate) in_flight: usize,
--- a/src/serve/home/mod.rs
+++ b/src/serve/home/mod.rs
@@ -1,8 +1,8 @@
 //! The home of an upstream: the router that admits all work to it.
 //!
-//! Read in the order of a request's way: `admit` checks it and asks for its turn, `task` owns the
-//! upstream's queue and gives it, `upstream` calls. [`Homes`] are the handles to the tasks, one for
-//! each upstream this router is asked to admit work to.
+//! A request passes through `admit`, which checks it and requests a slot, `task`, which owns the
+//! upstream's queue and grants slots, and `upstream`, which makes the call. [`Homes`] holds the
+//! handles to the tasks, one per upstream that this router admits work to.
 
 pub(crate) mod admit;
 pub(crate) mod kv;
@@ -29,10 +29,10 @@
 use crate::schema::peer::LoadNow;
 use crate::serve::SharedCtx;
 use crate::serve::home::loads::SharedLoads;
-use crate::serve::home::messages::{HomeLoad, HomeMsg, Permit, Tasks, Verdict};
+use crate::serve::home::messages::{Admitted, HomeLoad, HomeMsg, Permit, Tasks};
 use crate::util::Name;
 
-/// Handles to the home tasks of this router.
+/// Handles to this router's home tasks.
 #[derive(Clone)]
 pub(crate) struct Homes {
     ctx: SharedCtx,
@@ -51,23 +51,23 @@
         }
     }
 
-    /// Offers `job` to `upstream`'s home and waits for its turn or a refusal.
-    pub(crate) async fn admit(&self, upstream: &Upstream, job: Job) -> Verdict {
+    /// Offers `job` to `upstream`'s home and waits for a permit or a refusal.
+    pub(crate) async fn admit(&self, upstream: &Upstream, job: Job) -> Admitted {
         let stopping = || Refusal::not_run(Cause::Draining, 1_000);
         let tx = self.task(upstream);
-        let (reply, verdict) = oneshot::channel();
+        let (reply, admitted) = oneshot::channel();
         let id = job.id;
         if tx.send(HomeMsg::Offer(Box::new(job), reply)).is_err() {
             return Err(stopping());
         }
-        // Dropped when the caller goes while waiting: takes the job out of the queue.
+        // Dropped if the caller disconnects while waiting, which removes the job from the queue.
         let guard = Permit::new(id, tx);
-        let verdict = verdict.await;
+        let admitted = admitted.await;
         guard.disarm();
-        verdict.unwrap_or_else(|_| Err(stopping()))
+        admitted.unwrap_or_else(|_| Err(stopping()))
     }
 
-    /// The load of each upstream that has a home task here.
+    /// Returns the load of each upstream that has a home task here.
     pub(crate) async fn loads(&self) -> Vec<(Name, HomeLoad)> {
         let tasks: Vec<_> = {
             let tasks = self.tasks.borrow();
@@ -83,12 +83,12 @@
         loads
     }
 
-    /// The loads that this router believes in.
+    /// The router's shared view of upstream loads.
     pub(crate) fn view(&self) -> &SharedLoads {
         &self.loads
     }
 
-    /// The upstream's load as its home here last wrote it down.
+    /// Returns the upstream's load as last recorded by its home task here.
     pub(crate) fn load(&self, upstream: &str) -> Option<LoadNow> {
         let seen = self.loads.get(upstream)?;
         Some(LoadNow {
--- a/src/serve/home/reports.rs
+++ b/src/serve/home/reports.rs
@@ -1,8 +1,8 @@
-//! What engines report of themselves: load, late, and cache events, with gaps.
+//! Engine reports: load, which arrives late, and cache events, which may have gaps.
 //!
-//! Both are hints. A home knows its own work exactly; the report corrects it when the home is new,
-//! and the events tell it which chats are warm. After a gap the events can't be trusted to add up,
-//! so the digest replaces them.
+//! Both are hints. A home counts its own work exactly; the reported load corrects a new home's
+//! count, and the events show which chats are cached. After a gap in the events, the full cache
+//! digest replaces them.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 
 use crate::decide::ChatKey;
 
-const TIMEOUT: Duration = Duration::from_secs(1);
-const DIGEST_MAX: usize = 1_000;
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_DIGEST_ENTRIES: usize = 1_000;
 
-/// An engine's own word on its load.
+/// The load that an engine reports.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(default)]
 pub(crate) struct ReportedLoad {
     pub(crate) running: u32,
     pub(crate) waiting: u32,
-    /// It asks for no new work.
+    /// Whether the engine asks for no new work.
     pub(crate) leaving: bool,
 }
 
-/// A chat's cached tokens; zero when it was evicted.
+/// A chat's cached tokens; zero if it was evicted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct CacheHint {
     pub(crate) chat: ChatKey,
@@ -38,25 +38,25 @@
 pub(crate) struct Report {
     pub(crate) load: ReportedLoad,
     pub(crate) cached: Vec<CacheHint>,
-    /// `cached` is the whole cache, not a change to it.
-    pub(crate) whole: bool,
+    /// Whether `cached` is the whole cache rather than a change to it.
+    pub(crate) full: bool,
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct ReportBody {
     load: ReportedLoad,
-    events: Vec<WireEvent>,
+    events: Vec<CacheEvent>,
 }
 
 #[derive(Deserialize)]
-struct WireEvent {
+struct CacheEvent {
     seq: u64,
     key: u64,
     tokens: u32,
 }
 
 #[derive(Deserialize)]
-struct WireHeld {
+struct CacheEntry {
     key: u64,
     tokens: u32,
 }
@@ -65,14 +65,14 @@
 enum ReportError {
     #[snafu(display("{source}"))]
     Call { source: cyper::Error },
-    #[snafu(display("report can't be read: {source}"))]
+    #[snafu(display("malformed report: {source}"))]
     Malformed { source: serde_json::Error },
-    #[snafu(display("no report in time"))]
+    #[snafu(display("report request timed out"))]
     TimedOut,
 }
 
-/// Asks the engine at `addr` every `interval`, until the receiver is dropped. A missed report is
-/// sent as `None`, so that the home can tell silence from idleness.
+/// Polls the engine at `addr` every `interval` until the receiver is dropped. A failed poll is sent
+/// as `None`, so that the home can distinguish it from an idle engine.
 pub(crate) fn spawn(
     http: cyper::Client,
     addr: &str,
@@ -91,7 +91,7 @@
 struct Poller {
     http: cyper::Client,
     base: String,
-    /// The event that should come next; unknown before the first digest.
+    /// Sequence number of the next event; unknown before the first digest.
     next_seq: Option<u64>,
 }
 
@@ -101,7 +101,7 @@
             let report = match self.poll().await {
                 Ok(report) => Some(report),
                 Err(e) => {
-                    log::debug!("{}: {e}", self.base);
+                    log::debug!("report from {} failed: {e}", self.base);
                     None
                 }
             };
@@ -114,23 +114,25 @@
 
     async fn poll(&mut self) -> Result<Report, ReportError> {
         let from = self.next_seq.unwrap_or(0);
-        let wire: Wire = self.get(&format!("/report?from={from}")).await?;
-        let seqs: Vec<u64> = wire.events.iter().map(|e| e.seq).collect();
-        let unbroken = self.next_seq.is_some() && follows(from, &seqs);
+        let body: ReportBody = self.get(&format!("/report?from={from}")).await?;
+        let seqs: Vec<u64> = body.events.iter().map(|e| e.seq).collect();
+        let contiguous = self.next_seq.is_some() && is_contiguous(from, &seqs);
         self.next_seq = Some(seqs.last().map_or(from, |seq| seq + 1));
-        if unbroken {
-            let cached = wire.events.iter().map(|e| hint(e.key, e.tokens));
+        if contiguous {
+            let cached = body.events.iter().map(|e| hint(e.key, e.tokens));
             return Ok(Report {
-                load: wire.load,
+                load: body.load,
                 cached: cached.collect(),
-                whole: false,
+                full: false,
             });
         }
-        let held: Vec<WireHeld> = self.get(&format!("/cache/digest?max={DIGEST_MAX}")).await?;
+        let entries: Vec<CacheEntry> = self
+            .get(&format!("/cache/digest?max={MAX_DIGEST_ENTRIES}"))
+            .await?;
         Ok(Report {
-            load: wire.load,
-            cached: held.iter().map(|h| hint(h.key, h.tokens)).collect(),
-            whole: true,
+            load: body.load,
+            cached: entries.iter().map(|e| hint(e.key, e.tokens)).collect(),
+            full: true,
         })
     }
 
@@ -144,8 +146,8 @@
             let body = response.bytes().await.context(CallSnafu)?;
             serde_json::from_slice(&body).context(MalformedSnafu)
         };
-        let answered = compio::time::timeout(TIMEOUT, call).await;
-        answered.unwrap_or(Err(ReportError::TimedOut))
+        let polled = compio::time::timeout(REPORT_TIMEOUT, call).await;
+        polled.unwrap_or(Err(ReportError::TimedOut))
     }
 }
 
@@ -157,6 +159,8 @@
 }
 
 /// Whether `seqs` are `from`, `from + 1` and so on, without a gap.
-pub(crate) fn follows(from: u64, seqs: &[u64]) -> bool {
-    seqs.iter().zip(from..).all(|(seq, wanted)| *seq == wanted)
+pub(crate) fn is_contiguous(from: u64, seqs: &[u64]) -> bool {
+    seqs.iter()
+        .zip(from..)
+        .all(|(seq, expected)| *seq == expected)
 }
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -1,4 +1,4 @@
-//! The requests that this router holds to have crashed upstreams, and what others told of them.
+//! Requests that are suspected or convicted of crashing upstreams, by this router or its peers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,10 +21,11 @@
 use crate::serve::SharedCtx;
 use crate::util::Name;
 
-/// An upstream that can't be connected to within this is down; one that is up answers within it, if it isn't slow.
+/// An upstream that accepts no connection within this time is down. One that is connected but does
+/// not answer within it is only slow.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A handle to what is held.
+/// A handle to the quarantine.
 #[derive(Clone)]
 pub(crate) struct Suspects {
     ctx: SharedCtx,
@@ -32,33 +33,33 @@
     state: Rc<RefCell<State>>,
 }
 
-/// A dead upstream's calls break within this time of one another.
-const DEATH_SPREAD: Duration = Duration::from_millis(500);
+/// When an upstream crashes, its calls fail within this time of each other.
+const CRASH_WINDOW: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct State {
     quarantine: Quarantine,
-    heard: Option<Arc<Vec<Suspicion>>>,
-    /// Suspects that run, by upstream.
+    received: Option<Arc<Vec<Suspicion>>>,
+    /// Number of suspects running, by upstream.
     running: HashMap<String, u32>,
 }
 
-/// Counts one suspect that runs at an upstream.
+/// Counts one suspect as running at an upstream until dropped.
 pub(crate) struct RunningSuspect {
     upstream: String,
     state: Rc<RefCell<State>>,
 }
 
 impl RunningSuspect {
-    /// Whether no other suspect runs there.
+    /// Whether no other suspect is running there.
     fn is_sole(&self) -> bool {
         self.state.borrow().running.get(&self.upstream) == Some(&1)
     }
 
-    /// Counts on until the other calls that broke with this one have been judged.
-    fn linger(self) {
+    /// Drops the count only after the other calls that failed in the same crash have been checked.
+    fn drop_after_crash_window(self) {
         compio::runtime::spawn(async move {
-            compio::time::sleep(DEATH_SPREAD).await;
+            compio::time::sleep(CRASH_WINDOW).await;
             drop(self);
         })
         .detach();
@@ -77,12 +78,12 @@
     }
 }
 
-/// Whether a refusal says that the request has killed its upstreams.
-pub(crate) fn convicted(refused: &peer::Refusal) -> bool {
+/// Whether a refusal says that the request is quarantined.
+pub(crate) fn is_quarantined(refused: &peer::Refusal) -> bool {
     refused.cause.parse() == Ok(Cause::Quarantined)
 }
 
-/// A request's fingerprint.
+/// Returns the fingerprint that identifies re-sends of a request.
 pub(crate) fn fingerprint(forward: &Forward) -> u64 {
     quarantine::fingerprint(&forward.account, &forward.service, &forward.body)
 }
@@ -96,9 +97,9 @@
         }
     }
 
-    /// What is held of a request that came with `deaths` already counted on its way.
+    /// Returns a request's standing, given the `deaths` counted at other homes on its way here.
     pub(crate) fn standing(&self, fingerprint: u64, deaths: u32) -> Standing {
-        self.take_heard();
+        self.apply_gossip();
         let now_ms = self.ctx.clock.now_ms();
         let state = &mut *self.state.borrow_mut();
         if deaths > 0 {
@@ -109,7 +110,7 @@
         state.quarantine.standing(fingerprint, now_ms)
     }
 
-    /// Counts a suspect that starts at `upstream`.
+    /// Counts a suspect as running at `upstream`.
     pub(crate) fn begin(&self, upstream: &str) -> RunningSuspect {
         let running = &mut self.state.borrow_mut().running;
         *running.entry(upstream.to_owned()).or_default() += 1;
@@ -119,12 +120,11 @@
         }
     }
 
-    /// The call broke off: holds it against the request if the upstream is down. Returns the
-    /// refusal for the router that may send it on.
+    /// Handles a lost connection: counts a death against the request if the upstream is down. Returns
+    /// the refusal for the router that may retry the request.
     ///
-    /// A broken connection alone may be the network's doing; an upstream that nothing listens at
-    /// any more has died.
-    pub(crate) async fn broke_off(
+    /// A lost connection alone may be a network fault, so the upstream is probed.
+    pub(crate) async fn connection_lost(
         &self,
         forward: &Forward,
         at: &Upstream,
@@ -133,7 +133,7 @@
     ) -> peer::Refusal {
         let sole = suspect.as_ref().is_some_and(RunningSuspect::is_sole);
         if let Some(suspect) = suspect {
-            suspect.linger();
+            suspect.drop_after_crash_window();
         }
         if is_up(&at.addr).await {
             return refused;
@@ -151,16 +151,16 @@
             self.ctx
                 .events
                 .emit_request(Kind::RequestQuarantined, forward, |e| {
-                    e.detail = format!("{} died of it", at.name);
+                    e.detail = format!("{} crashed while running it", at.name);
                 });
-            self.tell_all(fingerprint, deaths).await;
+            self.broadcast_conviction(fingerprint, deaths).await;
             refused.cause = Cause::Quarantined.to_string();
             refused.retry_after_ms = left_ms;
         }
         refused
     }
 
-    /// The request was answered whole.
+    /// Clears a request that was answered completely.
     pub(crate) fn succeeded(&self, fingerprint: u64) {
         let quarantine = &mut self.state.borrow_mut().quarantine;
         if quarantine.succeeded(fingerprint) {
@@ -168,34 +168,34 @@
         }
     }
 
-    /// Takes a conviction that another router tells at once.
-    pub(crate) fn told(&self, suspicion: &Suspicion) -> Done {
+    /// Records a conviction received from another router.
+    pub(crate) fn add_conviction(&self, suspicion: &Suspicion) -> Done {
         let now_ms = self.ctx.clock.now_ms();
         let quarantine = &mut self.state.borrow_mut().quarantine;
         quarantine.heard(suspicion.fingerprint, suspicion.deaths, false, 0, now_ms);
         Done {}
     }
 
-    /// Tells the other routers of a conviction and waits until they know, or don't answer in time.
+    /// Sends a conviction to all other routers and waits until each has answered or timed out.
     ///
-    /// Failure guarded against: the caller is told first and sends the request again at once, through a
-    /// router that doesn't know yet and loses two more engines. Gossip takes a second, which is longer than a
-    /// caller needs. A conviction is rare, so all are told directly and its caller waits for them.
-    async fn tell_all(&self, fingerprint: u64, deaths: u32) {
+    /// Failure guarded against: a caller that is refused first re-sends at once through a router that
+    /// has not received the conviction, which crashes two more engines. Gossip takes a second, longer
+    /// than a caller needs to re-send. Convictions are rare, so direct messages are affordable.
+    async fn broadcast_conviction(&self, fingerprint: u64, deaths: u32) {
         let suspicion = Suspicion {
             fingerprint,
             deaths,
             ..Suspicion::default()
         };
         let fleet = self.ctx.fleet();
-        let others = fleet.members.iter().filter(|m| m.host != self.ctx.host);
-        let tell = async |addr: &Name| {
-            let told = self.peers.ask::<_, Done>(addr, CONVICTED, &suspicion).await;
-            if let Err(e) = told {
-                log::warn!("{addr} wasn't told of a conviction: {e}");
+        let peers = fleet.members.iter().filter(|m| m.host != self.ctx.host);
+        let notify = async |addr: &Name| {
+            let sent = self.peers.ask::<_, Done>(addr, CONVICTED, &suspicion).await;
+            if let Err(e) = sent {
+                log::warn!("sending a conviction to {addr} failed: {e}");
             }
         };
-        join_all(others.map(|m| tell(&m.peer_addr))).await;
+        join_all(peers.map(|m| notify(&m.peer_addr))).await;
     }
 
     fn publish(&self, fingerprint: u64, deaths: u32, cleared: bool) {
@@ -208,13 +208,13 @@
         self.ctx.gossip.publish(Publish::Suspicion(suspicion));
     }
 
-    fn take_heard(&self) {
+    fn apply_gossip(&self) {
         let latest = self.ctx.gossip.suspicions().borrow().clone();
         let state = &mut *self.state.borrow_mut();
         if state
-            .heard
+            .received
             .as_ref()
-            .is_some_and(|h| Arc::ptr_eq(h, &latest))
+            .is_some_and(|r| Arc::ptr_eq(r, &latest))
         {
             return;
         }
@@ -223,16 +223,15 @@
             let quarantine = &mut state.quarantine;
             quarantine.heard(s.fingerprint, s.deaths, s.cleared, s.age_ms, now_ms);
         }
-        state.heard = Some(latest);
+        state.received = Some(latest);
     }
 }
 
-/// Whether something at `addr` still answers.
+/// Whether the upstream at `addr` is up: it accepts a connection and does not close it unanswered.
 ///
-/// Failure guarded against: a crashing upstream breaks its calls a moment before its listening socket goes, and in between a
-/// new connection opens all the same. Taken for up by that, it isn't counted among those that the request has
-/// crashed, and the request goes on to the next, until none is left. So it has to answer, and one whose new
-/// connection breaks too is down. One that is only slow to answer is up.
+/// Failure guarded against: a crashing process closes its calls before its listening socket, and
+/// still accepts connections in between. If that counted as up, the death would not be counted and
+/// the request would go on to crash the next upstream. One that is only slow to answer is up.
 pub(super) async fn is_up(addr: &str) -> bool {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
         return true;
@@ -241,9 +240,9 @@
     let Ok(Ok(mut stream)) = connected else {
         return false;
     };
-    let question = format!("HEAD / HTTP/1.1\r\nhost: {addr}\r\nconnection: close\r\n\r\n");
+    let request = format!("HEAD / HTTP/1.1\r\nhost: {addr}\r\nconnection: close\r\n\r\n");
     let answer = async {
-        stream.write_all(question.into_bytes()).await.0?;
+        stream.write_all(request.into_bytes()).await.0?;
         stream.read(Vec::with_capacity(1)).await.0
     };
     match compio::time::timeout(CONNECT_TIMEOUT, answer).await {
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -1,4 +1,4 @@
-//! The task that is one upstream's home: it owns the queue, the in-flight work and the limits.
+//! The home task of one upstream, which owns its queue, in-flight work and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,20 +22,20 @@
 use crate::schema::peer::Load;
 use crate::serve::SharedCtx;
 use crate::serve::home::loads::{DEFAULT_SLOTS, SharedLoads, pool_slots};
-use crate::serve::home::messages::{HomeLoad, HomeMsg, Permit, Tasks, Verdict};
+use crate::serve::home::messages::{Admitted, HomeLoad, HomeMsg, Permit, Tasks};
 use crate::serve::home::reports::{self, Report};
 use crate::stats;
 use crate::util::Name;
 
-/// How often waiting jobs are looked at when nothing else happens.
+/// How often the queue is polled when no message arrives.
 const TICK: Duration = Duration::from_millis(20);
-/// How often an engine is asked for its load and cache events. The reports of the few engines that a router is home to are
-/// a part of what it may spend on control.
+/// How often an engine is polled for its load and cache events. A router polls only the few engines
+/// it is home to, and the polls count towards its control traffic budget.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// When to come back to an upstream that takes no work.
+/// Retry delay for an upstream that takes no work.
 const LEAVING_RETRY_MS: u64 = 1_000;
 
-/// Starts the home of `upstream`.
+/// Starts the home task of `upstream`.
 pub(crate) fn spawn(
     ctx: SharedCtx,
     http: cyper::Client,
@@ -59,7 +59,7 @@
         engine,
         pool: Vec::new(),
         config: None,
-        published: 0,
+        publish_seq: 0,
         leaving: false,
         home,
         adaptive,
@@ -91,13 +91,13 @@
     engine: bool,
     pool: Vec<Slots>,
     config: Option<Arc<ConfigView>>,
-    published: u64,
+    publish_seq: u64,
     leaving: bool,
     home: Home,
-    /// The limit of a plain service that names no slots.
+    /// The concurrency limit of a plain service without configured slots.
     adaptive: Option<Concurrency>,
     started_ms: HashMap<JobId, u64>,
-    waiting: HashMap<JobId, oneshot::Sender<Verdict>>,
+    waiting: HashMap<JobId, oneshot::Sender<Admitted>>,
     rng: SmallRng,
     tx: mpsc::WeakUnboundedSender<HomeMsg>,
 }
@@ -115,8 +115,8 @@
                 Wake::Msg(Some(msg)) => self.handle(msg),
                 Wake::Msg(None) => return,
                 Wake::Report(report) => {
-                    self.report(report);
-                    if self.is_over() && rx.is_empty() {
+                    self.apply_report(report);
+                    if self.can_stop() && rx.is_empty() {
                         self.tasks.borrow_mut().remove(&self.name);
                         let name = self.name.to_string();
                         self.ctx.events.emit(Kind::HomeLost, |e| e.upstream = name);
@@ -147,7 +147,7 @@
         }
     }
 
-    fn offer(&mut self, job: Job, reply: oneshot::Sender<Verdict>) {
+    fn offer(&mut self, job: Job, reply: oneshot::Sender<Admitted>) {
         self.reconfigure();
         if self.leaving {
             let refusal = Refusal::not_run(Cause::NoUpstream, LEAVING_RETRY_MS);
@@ -189,8 +189,8 @@
         }
     }
 
-    /// What the engine says of itself; `None` when a report was missed.
-    fn report(&mut self, report: Option<Report>) {
+    /// Applies an engine's report; `None` means that the poll failed.
+    fn apply_report(&mut self, report: Option<Report>) {
         let Some(report) = report else {
             return;
         };
@@ -208,7 +208,7 @@
         });
         let now_ms = self.ctx.clock.now_ms();
         self.home.reported(load.running + load.waiting, now_ms);
-        if report.whole {
+        if report.full {
             self.home.cooled();
         }
         for hint in report.cached {
@@ -236,39 +236,39 @@
         }
     }
 
-    /// A permit that can't be delivered is dropped, and so ends the job.
-    fn start(&mut self, id: JobId, reply: oneshot::Sender<Verdict>) {
+    /// Sends the permit. If the receiver has closed, the permit is dropped, which ends the job.
+    fn start(&mut self, id: JobId, reply: oneshot::Sender<Admitted>) {
         self.started_ms.insert(id, self.ctx.clock.now_ms());
         if let Some(tx) = self.tx.upgrade() {
             let _ = reply.send(Ok(Permit::new(id, tx)));
         }
     }
 
-    /// The upstream's home is elsewhere now, and nothing is left here.
-    fn is_over(&self) -> bool {
+    /// Whether the upstream was removed or its home has moved, and no work is left here.
+    fn can_stop(&self) -> bool {
         if self.home.in_flight() > 0 || self.home.queued() > 0 {
             return false;
         }
         let fleet = self.ctx.fleet();
         let home = homes::home(&fleet, &self.name, &self.upstream.data_center);
-        let known = self.ctx.config();
-        let known = known.upstream(&self.upstream.service, &self.name);
-        known.is_none() || home.is_some_and(|home| home.host != self.ctx.host)
+        let config = self.ctx.config();
+        let configured = config.upstream(&self.upstream.service, &self.name);
+        configured.is_none() || home.is_some_and(|home| home.host != self.ctx.host)
     }
 
-    /// The pool's bound; a plain service has none, since its look-ups all weigh the same and must
-    /// not be sent round.
+    /// Returns the pool's view. A plain service has no load bound: its requests all cost the same, and
+    /// moving them to another upstream gains nothing.
     fn pool_view(&self) -> PoolView {
         let mut view = self
             .loads
-            .bounded_view(&self.pool, (&self.name, self.seen()));
+            .bounded_view(&self.pool, (&self.name, self.current_load()));
         if !self.engine {
             view.mean_work_ms = f64::INFINITY;
         }
         view
     }
 
-    fn seen(&self) -> Seen {
+    fn current_load(&self) -> Seen {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Seen {
             work_ms: self.home.work_ms(),
@@ -278,14 +278,14 @@
     }
 
     fn publish(&mut self) {
-        self.published += 1;
-        let seen = self.seen();
+        self.publish_seq += 1;
+        let seen = self.current_load();
         let load = Load {
             upstream: self.name.to_string(),
             work_ms: seen.work_ms,
             in_flight: seen.in_flight,
             queued: seen.queued,
-            seq: self.published,
+            seq: self.publish_seq,
         };
         self.loads.set(&self.name, seen);
         stats::upstream(&load);
@@ -313,7 +313,7 @@
     }
 }
 
-/// The policy that operators set for the upstream's service; zero means the default.
+/// Returns the policy configured for the upstream's service; zero values mean the default.
 fn policy(config: &ConfigView, upstream: &Upstream) -> HomePolicy {
     let mut policy = HomePolicy {
         slots: DEFAULT_SLOTS,
@@ -323,12 +323,12 @@
         policy.slots = upstream.slots;
     }
     if let Some(set) = config.policy(&upstream.service) {
-        apply(&mut policy, set);
+        apply_overrides(&mut policy, set);
     }
     policy
 }
 
-fn apply(policy: &mut HomePolicy, set: &Policy) {
+fn apply_overrides(policy: &mut HomePolicy, set: &Policy) {
     if set.epsilon > 0.0 {
         policy.epsilon = set.epsilon;
     }
--- a/src/serve/home/upstream.rs
+++ b/src/serve/home/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to upstreams: model engines as server-sent events, plain services as they are.
+//! Calls to upstreams: model engines answer with server-sent events, plain services with any body.
 
 use std::sync::Arc;
 
@@ -19,20 +19,20 @@
 use crate::schema::peer::{End, Forward, Head, Header};
 use crate::serve::SharedCtx;
 
-/// Carries the request's id to the upstream and back.
+/// Carries the request's id to the upstream, which echoes it.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
 const ATTEMPT: &str = "x-attempt";
 
-/// Names a chat's prefix to the engine, as its cache events do in return.
+/// Identifies a chat's prefix to the engine, whose cache events use the same key.
 const CACHE_KEY: &str = "x-cache-key";
 
 const PRIORITY: &str = "x-priority";
 const STREAMS_PATH: &str = "/v1/streams";
 const DONE: &str = "[DONE]";
 
-/// Headers that end at this hop.
-const HOP_HEADERS: [&str; 8] = [
+/// Headers that are not forwarded to the next hop.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -54,23 +54,24 @@
 }
 
 impl Call {
-    /// Calls the upstream and passes its answer on; ends when the caller goes.
+    /// Calls the upstream and forwards its answer; cancels the call when the caller disconnects.
     pub(crate) async fn run(self) {
         let tx = self.tx.clone();
         let work = self.answer();
-        let gone = tx.closed();
-        pin_mut!(work, gone);
-        match futures_util::future::select(work, gone).await {
+        let closed = tx.closed();
+        pin_mut!(work, closed);
+        match futures_util::future::select(work, closed).await {
             Either::Left((Ok(()), _)) => {}
             Either::Left((Err(refused), _)) => {
-                // The caller may have gone: then nobody needs the refusal.
+                // Fails only if the caller has disconnected.
                 let _ = tx.send(Body::Refused(refused)).await;
             }
             Either::Right(_) => self.cancel().await,
         }
     }
 
-    /// Tells the engine that nobody reads on, so that it frees the slot before its own grace ends.
+    /// Cancels the stream at the engine, which frees the slot before the engine's own grace period
+    /// ends.
     async fn cancel(&self) {
         self.ctx.events.emit(Kind::RequestCancelled, |e| {
             e.request_id.clone_from(&self.forward.request_id);
@@ -84,7 +85,7 @@
         if let Ok(request) = self.http.delete(url)
             && let Err(e) = request.send().await
         {
-            log::debug!("{}: not cancelled: {e}", self.upstream.name);
+            log::debug!("cancelling a stream at {} failed: {e}", self.upstream.name);
         }
     }
 
@@ -92,30 +93,31 @@
         let response = self.response().await?;
         let echoed = response.headers().get(REQUEST_ID);
         if echoed.map(HeaderValue::as_bytes) != Some(self.forward.request_id.as_bytes()) {
-            return Err(self.crossed());
+            return Err(self.mismatched());
         }
         let head = Head {
             status: response.status().as_u16().into(),
-            headers: pass_headers(response.headers()),
+            headers: end_to_end_headers(response.headers()),
             upstream: self.upstream.name.clone(),
             home: self.ctx.host.to_string(),
             load: None,
         };
         let streams = self.engine && response.status().is_success();
-        self.pass(Body::Head(head)).await?;
+        self.forward_frame(Body::Head(head)).await?;
         let bytes = response.bytes_stream();
         let chunks = if streams {
-            self.pass_events(bytes).await?
+            self.forward_events(bytes).await?
         } else {
-            self.pass_bytes(bytes).await?
+            self.forward_bytes(bytes).await?
         };
-        self.pass(Body::End(End { chunks })).await
+        self.forward_frame(Body::End(End { chunks })).await
     }
 
-    /// Picks a broken stream up where it ended if this engine still has it, else asks anew.
+    /// Resumes an interrupted stream at its offset if this engine still has it; otherwise sends the
+    /// request again.
     async fn response(&self) -> Result<cyper::Response, peer::Refusal> {
         if self.forward.resume_upstream != self.upstream.name {
-            return self.ask().await;
+            return self.send_request().await;
         }
         let fwd = &self.forward;
         let path = format!(
@@ -124,7 +126,7 @@
         );
         let resumed = self.send(&Method::GET, &path, Bytes::new()).await?;
         if !resumed.status().is_success() {
-            return self.ask().await;
+            return self.send_request().await;
         }
         self.ctx.events.emit(Kind::RequestResumed, |e| {
             e.request_id.clone_from(&fwd.request_id);
@@ -135,7 +137,7 @@
         Ok(resumed)
     }
 
-    async fn ask(&self) -> Result<cyper::Response, peer::Refusal> {
+    async fn send_request(&self) -> Result<cyper::Response, peer::Refusal> {
         let fwd = &self.forward;
         let method = Method::from_bytes(fwd.method.as_bytes()).map_err(|e| bad_request(&e))?;
         let body = if fwd.delivered_text.is_empty() {
@@ -157,7 +159,7 @@
         let request = self.http.request(method.clone(), url);
         let request = request.map_err(|e| bad_request(&e))?;
         let request = request.headers(headers).body(body);
-        request.send().await.map_err(|e| self.failed(&e))
+        request.send().await.map_err(|e| self.send_failed(&e))
     }
 
     fn headers(&self) -> Result<HeaderMap, peer::Refusal> {
@@ -179,7 +181,7 @@
         Ok(headers)
     }
 
-    async fn pass_events<E>(
+    async fn forward_events<E>(
         &self,
         bytes: impl Stream<Item = Result<Bytes, E>>,
     ) -> Result<u64, peer::Refusal>
@@ -190,20 +192,21 @@
         pin_mut!(events);
         let mut chunks = 0;
         while let Some(event) = events.next().await {
-            let event = event.map_err(|e| self.cut(&e))?;
+            let event = event.map_err(|e| self.interrupted(&e))?;
             if event.data == DONE {
                 return Ok(chunks);
             }
             if !event.data.contains(&self.forward.request_id) {
-                return Err(self.crossed());
+                return Err(self.mismatched());
             }
             chunks += 1;
-            self.pass(Body::Chunk(event.data.into_bytes())).await?;
+            self.forward_frame(Body::Chunk(event.data.into_bytes()))
+                .await?;
         }
-        Err(self.cut(&"the stream ended without its end mark"))
+        Err(self.interrupted(&"the stream ended without [DONE]"))
     }
 
-    async fn pass_bytes<E>(
+    async fn forward_bytes<E>(
         &self,
         bytes: impl Stream<Item = Result<Bytes, E>>,
     ) -> Result<u64, peer::Refusal>
@@ -213,35 +216,42 @@
         pin_mut!(bytes);
         let mut chunks = 0;
         while let Some(piece) = bytes.next().await {
-            let piece = piece.map_err(|e| self.cut(&e))?;
+            let piece = piece.map_err(|e| self.interrupted(&e))?;
             chunks += 1;
-            self.pass(Body::Chunk(piece.to_vec())).await?;
+            self.forward_frame(Body::Chunk(piece.to_vec())).await?;
         }
         Ok(chunks)
     }
 
-    async fn pass(&self, body: Body) -> Result<(), peer::Refusal> {
-        let gone = |_| refuse::message(&Refusal::unknown(Cause::UpstreamFailed), "caller gone");
-        self.tx.send(body).await.map_err(gone)
+    async fn forward_frame(&self, body: Body) -> Result<(), peer::Refusal> {
+        let closed = |_| {
+            refuse::message(
+                &Refusal::unknown(Cause::UpstreamFailed),
+                "caller disconnected",
+            )
+        };
+        self.tx.send(body).await.map_err(closed)
     }
 
-    /// An answer to another request must never reach this caller: drop it, and the connection.
-    fn crossed(&self) -> peer::Refusal {
+    /// Drops an answer that carries another request's id, along with the connection: it must never
+    /// reach this caller.
+    fn mismatched(&self) -> peer::Refusal {
         self.ctx.events.emit(Kind::AnswerDropped, |e| {
             e.request_id.clone_from(&self.forward.request_id);
             e.upstream.clone_from(&self.upstream.name);
         });
         let refusal = Refusal::unknown(Cause::UpstreamFailed);
-        refuse::message(&refusal, "the upstream answered another request")
+        refuse::message(&refusal, "the upstream answered with another request's id")
     }
 
-    fn cut(&self, e: &impl std::fmt::Display) -> peer::Refusal {
-        let detail = format!("{} broke off: {e}", self.upstream.name);
+    fn interrupted(&self, e: &impl std::fmt::Display) -> peer::Refusal {
+        let detail = format!("{}: answer interrupted: {e}", self.upstream.name);
         refuse::message(&Refusal::unknown(Cause::UpstreamFailed), detail)
     }
 
-    /// Only a failed connect proves that no byte of the request left.
-    fn failed(&self, e: &cyper::Error) -> peer::Refusal {
+    /// Returns the refusal for a failed send. Only a failed connection attempt proves that no byte of the
+    /// request was sent.
+    fn send_failed(&self, e: &cyper::Error) -> peer::Refusal {
         let detail = format!("{}: {e}", self.upstream.name);
         let unsent = matches!(e, cyper::Error::HyperClient(inner) if inner.is_connect());
         if unsent {
@@ -255,23 +265,23 @@
     refuse::not_run(Cause::BadRequest, 0, e.to_string())
 }
 
-/// Asks the engine to continue from text that the caller already has, so that two samplings are
-/// never spliced.
+/// Adds the text already delivered as a forced prefix, so that the engine continues it and the answer
+/// never joins two different samplings.
 fn force_prefix(body: &[u8], delivered: &str) -> Bytes {
-    let Ok(mut whole) = serde_json::from_slice::<Value>(body) else {
+    let Ok(mut request) = serde_json::from_slice::<Value>(body) else {
         return Bytes::copy_from_slice(body);
     };
-    if let Some(object) = whole.as_object_mut() {
+    if let Some(object) = request.as_object_mut() {
         object.insert("forced_prefix".to_owned(), Value::from(delivered));
     }
-    serde_json::to_vec(&whole).unwrap_or_default().into()
+    serde_json::to_vec(&request).unwrap_or_default().into()
 }
 
-/// The headers that go on to the next hop.
-pub(crate) fn pass_headers(headers: &HeaderMap) -> Vec<Header> {
+/// Returns the headers to forward to the next hop.
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
         .map(|(name, value)| Header {
             name: name.to_string(),
             value: value.as_bytes().to_vec(),
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -1,5 +1,5 @@
-//! A router on the project's own log: its callers, the way of their requests, peers, operators and
-//! pages.
+//! The router that runs on the project's own log: caller, peer, operator and admin listeners, and
+//! request routing.
 
 pub(crate) mod admin;
 mod callers;
@@ -18,7 +18,7 @@
 pub(crate) use callers::Callers;
 pub(crate) use operator::Operators;
 pub(crate) use route::claim_link::grouping;
-pub(crate) use route::tokens::Tokens;
+pub(crate) use route::tokens::RunKeys;
 
 use crate::decide::refusal::Cause;
 use crate::event::Events;
@@ -34,10 +34,10 @@
 use crate::schema::settings::Settings;
 use crate::util::{Clock, Name};
 
-/// A doubt ends with the first answer to a probe.
-const DOUBT_RETRY_MS: u64 = 500;
+/// Retry delay while membership is unconfirmed, which ends with the first answered probe.
+const UNCONFIRMED_RETRY_MS: u64 = 500;
 
-/// What every task of a router may read.
+/// State shared by all tasks of a router.
 pub(crate) struct Ctx {
     pub(crate) settings: Settings,
     pub(crate) host: Name,
@@ -45,7 +45,7 @@
     pub(crate) events: Events,
     pub(crate) keeper: Keeper,
     pub(crate) claims: Claimant,
-    pub(crate) tokens: Tokens,
+    pub(crate) run_keys: RunKeys,
     pub(crate) orders: operator::orders::Orders,
     pub(crate) config: watch::Receiver<Arc<ConfigView>>,
     pub(crate) fleet: watch::Receiver<Arc<View>>,
@@ -61,23 +61,29 @@
         self.config.borrow().clone()
     }
 
-    /// Whether what the configuration doesn't hold doesn't exist. A router that starts may not have heard of it.
-    pub(crate) fn knows_configuration(&self) -> bool {
+    /// Whether an absent entry is known not to exist. A starting router may not have received the
+    /// configuration yet.
+    pub(crate) fn has_configuration(&self) -> bool {
         let has_version = self.config.borrow().state.version > 0;
         has_version || self.keeper.standing() == Standing::Current
     }
 
-    /// Whether this router may admit work as a home; a forwarded request never hops again.
+    /// Checks that this router may admit work as a home. Forwarded requests are refused here rather
+    /// than forwarded again.
     pub(crate) fn may_admit(&self) -> Result<(), Refusal> {
         if self.pulse.may_admit(self.clock.now_ms()) {
             return Ok(());
         }
         crate::stats::home_refused("in_doubt");
-        let detail = "this router slept and may have been given up by the others";
-        Err(refuse::not_run(Cause::Draining, DOUBT_RETRY_MS, detail))
+        let detail = "this router was suspended and its peers may have declared it dead";
+        Err(refuse::not_run(
+            Cause::Draining,
+            UNCONFIRMED_RETRY_MS,
+            detail,
+        ))
     }
 
-    /// Ends when `host` is given up by this router's view.
+    /// Resolves when `host` is dead or absent in this router's view; never for this host itself.
     pub(crate) async fn host_dead(&self, host: &str) {
         let mut fleet = self.fleet.clone();
         loop {
--- a/src/serve/operator/mod.rs
+++ b/src/serve/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' remote procedure calls: gRPC, served by hyper, called by the command line.
+//! The operators' gRPC service, served by hyper, and the client that the command line uses.
 
 pub(crate) mod orders;
 
@@ -40,14 +40,14 @@
 use crate::serve::operator::orders::Orders;
 use crate::util::Name;
 
-/// Strangers that hold more connections would take callers' file descriptors.
+/// Far more than operators need; the bound keeps file descriptors free for callers.
 const MAX_CONNECTIONS: usize = 64;
-/// An operator that went without a word is found after two of these.
+/// A connection whose peer has vanished is closed after two of these intervals.
 const KEEP_ALIVE: Duration = Duration::from_secs(20);
 
-type LoadsAsk = oneshot::Sender<Vec<(Name, HomeLoad)>>;
+type LoadsQuery = oneshot::Sender<Vec<(Name, HomeLoad)>>;
 
-/// Serves operators.
+/// The listener for operators.
 pub(crate) struct Operators {
     addr: SocketAddr,
 }
@@ -56,8 +56,8 @@
     pub(crate) async fn bind(addr: SocketAddr, ctx: SharedCtx, homes: Homes) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
-        let (loads, asks) = mpsc::channel(16);
-        compio::runtime::spawn(answer_loads(homes, asks)).detach();
+        let (loads, queries) = mpsc::channel(16);
+        compio::runtime::spawn(answer_loads(homes, queries)).detach();
         let key = ctx.settings.operator.as_ref().map(|o| o.key.as_str());
         let rpc = Rpc {
             key: key.unwrap_or_default().into(),
@@ -77,9 +77,9 @@
     }
 }
 
-async fn answer_loads(homes: Homes, mut asks: mpsc::Receiver<LoadsAsk>) {
-    while let Some(reply) = asks.recv().await {
-        // The operator may have gone.
+async fn answer_loads(homes: Homes, mut queries: mpsc::Receiver<LoadsQuery>) {
+    while let Some(reply) = queries.recv().await {
+        // Fails only if the operator has disconnected.
         let _ = reply.send(homes.loads().await);
     }
 }
@@ -103,11 +103,12 @@
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
     if let Err(e) = served {
-        log::debug!("operator's connection ended: {e}");
+        log::debug!("operator connection ended: {e}");
     }
 }
 
-/// Tonic's handlers must be `Send`, so they hold only handles of the tasks that own the state.
+/// The service's handlers. Tonic requires them to be `Send`, so they hold only handles to the tasks
+/// that own the state.
 struct Rpc {
     key: Name,
     host: Name,
@@ -115,15 +116,15 @@
     orders: Orders,
     config: watch::Receiver<Arc<ConfigView>>,
     fleet: watch::Receiver<Arc<View>>,
-    loads: mpsc::Sender<LoadsAsk>,
+    loads: mpsc::Sender<LoadsQuery>,
 }
 
 impl Rpc {
     fn authorize<T>(&self, request: &RpcRequest<T>) -> Result<(), Status> {
-        let given = request.metadata().get("authorization");
-        let given = given.map_or(&b""[..], |v| v.as_bytes());
-        let wanted = format!("Bearer {}", self.key);
-        if bool::from(given.ct_eq(wanted.as_bytes())) {
+        let received = request.metadata().get("authorization");
+        let received = received.map_or(&b""[..], |v| v.as_bytes());
+        let expected = format!("Bearer {}", self.key);
+        if bool::from(received.ct_eq(expected.as_bytes())) {
             return Ok(());
         }
         Err(Status::unauthenticated("wrong operator key"))
@@ -167,11 +168,12 @@
             } => {
                 reply.version = version;
                 reply.winner = winner;
-                reply.reason = format!("made against another version; {author} made {version}");
+                reply.reason =
+                    format!("the change is not based on version {version}, which {author} made");
             }
             Applied::Invalid { reason } => reply.reason = reason,
             Applied::Newer { .. } | Applied::Skipped => {
-                "not a change".clone_into(&mut reply.reason)
+                "the record is not a change".clone_into(&mut reply.reason)
             }
         }
         Ok(RpcResponse::new(reply))
@@ -216,8 +218,8 @@
                 draining: u.draining,
             }
         });
-        let marks = config.state.data_centers.iter();
-        let evacuated = marks.map(|m| m.data_center.clone());
+        let evacuations = config.state.data_centers.iter();
+        let evacuated = evacuations.map(|m| m.data_center.clone());
         Ok(RpcResponse::new(FleetReply {
             host: self.host.to_string(),
             config_version: config.state.version,
@@ -233,32 +235,32 @@
         request: RpcRequest<OrderRequest>,
     ) -> Result<RpcResponse<OrderReply>, Status> {
         self.authorize(&request)?;
-        let reply = self.orders.give(request.into_inner()).await;
+        let reply = self.orders.submit(request.into_inner()).await;
         Ok(RpcResponse::new(reply))
     }
 }
 
-/// Why an operator call can't be made.
+/// Why an operator call failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection to the router.
+    /// The connection to the router failed.
     #[snafu(display("{addr}: {detail}"))]
     Connect {
         /// The router's operator address.
         addr: SocketAddr,
-        /// What failed.
+        /// The underlying error.
         detail: String,
     },
-    /// The key can't be sent.
+    /// The key cannot be sent as a header value.
     #[snafu(display("operator key: {source}"))]
     Key {
-        /// What is wrong with it.
+        /// The underlying error.
         source: tonic::metadata::errors::InvalidMetadataValue,
     },
     /// The router refused the call.
     #[snafu(display("{source}"))]
     Refused {
-        /// Its answer.
+        /// The router's status.
         source: Status,
     },
 }
@@ -275,7 +277,7 @@
     /// Connects to the router whose operator address is `addr`.
     ///
     /// # Errors
-    /// When no connection can be made or the key has characters a header can't hold.
+    /// If the connection fails or the key has characters that a header value cannot contain.
     pub async fn open(addr: SocketAddr, key: &str) -> Result<Self, CallError> {
         let connected = http2::connect::<Body>(addr).await;
         let send = connected.map_err(|e| CallError::Connect {
@@ -300,37 +302,37 @@
     /// Applies one change.
     ///
     /// # Errors
-    /// When the router refuses the call or its outcome isn't known.
+    /// If the router refuses the call or its outcome is unknown.
     pub async fn apply(&mut self, request: ApplyRequest) -> Result<ApplyReply, CallError> {
         let request = self.request(request);
         let reply = self.client.apply(request).await.context(RefusedSnafu)?;
         Ok(reply.into_inner())
     }
 
-    /// The configuration in force at the router.
+    /// Returns the configuration in force at the router.
     ///
     /// # Errors
-    /// When the router refuses the call.
+    /// If the router refuses the call.
     pub async fn config(&mut self) -> Result<State, CallError> {
         let request = self.request(GetConfigRequest {});
         let reply = self.client.get_config(request).await;
         Ok(reply.context(RefusedSnafu)?.into_inner())
     }
 
-    /// The fleet as the router sees it.
+    /// Returns the router's view of the fleet.
     ///
     /// # Errors
-    /// When the router refuses the call.
+    /// If the router refuses the call.
     pub async fn fleet(&mut self) -> Result<FleetReply, CallError> {
         let request = self.request(FleetRequest {});
         let reply = self.client.fleet(request).await;
         Ok(reply.context(RefusedSnafu)?.into_inner())
     }
 
-    /// Gives an order to an upstream.
+    /// Sends an order to an upstream.
     ///
     /// # Errors
-    /// When the router refuses the call.
+    /// If the router refuses the call.
     pub async fn order(&mut self, request: OrderRequest) -> Result<OrderReply, CallError> {
         let request = self.request(request);
         let reply = self.client.order(request).await;
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -1,10 +1,10 @@
 //! Orders to upstreams, under a lease of the upstream.
 //!
-//! An order states the wanted state, so that giving it twice is harmless. An upstream that checks
-//! fencing numbers refuses an old holder's order by itself. For one that ignores them, only time
-//! helps: before its first order, a new holder waits out the longest time that an order of its
-//! predecessor may still be under way, and so does a holder whose own order's answer was lost.
-//! What remains possible: an order delayed longer than the upstream's `longest_pause_ms`.
+//! An order states the desired state, so it is idempotent. An upstream that checks fencing numbers
+//! refuses a former lease holder's order itself. For one that ignores them, a new holder waits before
+//! its first order for as long as its predecessor's last order may be in transit, and so does a holder
+//! whose own order was not answered. An order delayed longer than the upstream's `longest_pause_ms`
+//! can still be applied out of order.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,10 +26,10 @@
 use crate::util::{Clock, Name};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Orders and looks at the upstream's state before an order is given up.
-const ROUNDS: u32 = 3;
+/// How often an order is sent and the upstream's state is checked before giving up.
+const MAX_ROUNDS: u32 = 3;
 
-/// What an upstream can be told to do.
+/// What an upstream can be ordered to do.
 #[derive(Clone, Copy, Debug, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Action {
@@ -41,13 +41,13 @@
 
 type Reply = oneshot::Sender<OrderReply>;
 
-/// A handle to the task that gives orders.
+/// A handle to the task that sends orders.
 #[derive(Clone, Debug)]
 pub(crate) struct Orders {
     tx: mpsc::Sender<(OrderRequest, Reply)>,
 }
 
-/// What the task needs.
+/// The task's log, clock, and other dependencies.
 pub(crate) struct Start<L> {
     pub(crate) log: L,
     pub(crate) host: Name,
@@ -60,7 +60,7 @@
 impl Orders {
     pub(crate) fn spawn<L: Log + 'static>(start: Start<L>) -> Self {
         let (tx, rx) = mpsc::channel(16);
-        // A replaced host is a new holder: it waits for what its predecessor left under way.
+        // A restarted router is a new holder, so it waits for its predecessor's orders in transit.
         let holder = format!("{}#{}", start.host, Uuid::now_v7().simple());
         let task = Task {
             lessor: Lessor::new(start.log, RealTime::new(start.clock), holder),
@@ -68,20 +68,20 @@
             config: start.config,
             http: start.http,
             events: start.events,
-            clear_from_ms: HashMap::new(),
+            in_transit_until_ms: HashMap::new(),
         };
         compio::runtime::spawn(task.run(rx)).detach();
         Self { tx }
     }
 
-    /// Gives one order and waits until the upstream's state matches it.
-    pub(crate) async fn give(&self, request: OrderRequest) -> OrderReply {
-        let (reply, given) = oneshot::channel();
+    /// Sends one order and waits until the upstream's state matches it.
+    pub(crate) async fn submit(&self, request: OrderRequest) -> OrderReply {
+        let (reply, outcome) = oneshot::channel();
         if self.tx.send((request, reply)).await.is_err() {
-            return refused("router is stopping: the order was not given");
+            return refused("router is stopping: the order was not sent");
         }
         let stopping = || refused("router is stopping: outcome unknown");
-        given.await.unwrap_or_else(|_| stopping())
+        outcome.await.unwrap_or_else(|_| stopping())
     }
 }
 
@@ -98,15 +98,15 @@
     values: HashMap<String, String>,
 }
 
-/// What became of one order.
-enum Given {
-    Taken,
-    /// The upstream has seen a newer fencing number.
+/// The result of sending one order.
+enum Delivery {
+    Accepted,
+    /// The upstream has received a newer fencing number.
     Fenced,
-    /// It surely never arrived.
-    Unsent(String),
-    /// It may arrive yet.
-    Lost(String),
+    /// The upstream surely did not apply it.
+    Failed(String),
+    /// The upstream may apply it later.
+    Unconfirmed(String),
 }
 
 struct Task<L> {
@@ -115,29 +115,29 @@
     config: watch::Receiver<Arc<ConfigView>>,
     http: cyper::Client,
     events: Events,
-    /// Until then an earlier order may reach an upstream that ignores fencing.
-    clear_from_ms: HashMap<Name, u64>,
+    /// Until when an earlier order may reach an upstream that ignores fencing.
+    in_transit_until_ms: HashMap<Name, u64>,
 }
 
 impl<L: Log> Task<L> {
     async fn run(mut self, mut rx: mpsc::Receiver<(OrderRequest, Reply)>) {
         while let Some((request, reply)) = rx.recv().await {
-            let given = self.order(&request).await;
-            // The operator may have gone; the order stands.
-            let _ = reply.send(given);
+            let outcome = self.order(&request).await;
+            // Fails only if the operator has disconnected; the order remains in effect.
+            let _ = reply.send(outcome);
         }
     }
 
     async fn order(&mut self, request: &OrderRequest) -> OrderReply {
         let Ok(action) = request.action.parse::<Action>() else {
-            let wanted = "load_model, load_adapter, load_version or change_role";
-            return refused(&format!("action: must be {wanted}"));
+            let actions = "load_model, load_adapter, load_version or change_role";
+            return refused(&format!("action: must be {actions}"));
         };
         if request.value.is_empty() {
             return refused("value: must not be empty");
         }
         let Some(upstream) = self.upstream(&request.upstream) else {
-            return refused("upstream: names no upstream");
+            return refused("upstream: no upstream has this name");
         };
         let name = Name::from(upstream.name.as_str());
         let lease = match self.lessor.take(&name).await {
@@ -145,24 +145,24 @@
             Err(e @ LeaseError::Held { .. }) => return refused(&e.to_string()),
             Err(e) => return refused(&format!("not given: {e}")),
         };
-        self.note(Kind::LeaseTaken, &lease, "");
+        self.emit(Kind::LeaseTaken, &lease, "");
         if lease.taken_over {
-            self.unclear(&upstream);
+            self.set_in_transit(&upstream);
         }
-        if let Some(wait_ms) = self.unclear_ms(&name) {
-            let detail = format!("an earlier order may be under way; come back in {wait_ms} ms");
+        if let Some(wait_ms) = self.in_transit_ms(&name) {
+            let detail = format!("an earlier order may be in transit; come back in {wait_ms} ms");
             return reply(&lease, false, &detail);
         }
-        let given = self
-            .until_it_matches(&upstream, &lease, action, request)
+        let outcome = self
+            .send_until_applied(&upstream, &lease, action, request)
             .await;
         if self.lessor.end(&lease).await.is_ok() {
-            self.note(Kind::LeaseEnded, &lease, "");
+            self.emit(Kind::LeaseEnded, &lease, "");
         }
-        given
+        outcome
     }
 
-    async fn until_it_matches(
+    async fn send_until_applied(
         &mut self,
         upstream: &Upstream,
         lease: &Lease,
@@ -170,28 +170,28 @@
         request: &OrderRequest,
     ) -> OrderReply {
         let mut detail = String::new();
-        for _ in 0..ROUNDS {
-            // A paused holder that resumes gives no order from before.
+        for _ in 0..MAX_ROUNDS {
+            // A holder that was suspended must not send an order under an expired lease.
             if !self.lessor.holds(lease) {
-                return reply(lease, false, "the lease ran out; order again");
+                return reply(lease, false, "the lease expired; order again");
             }
             let body = OrderBody {
                 fencing: lease.fencing,
                 action: action.into(),
                 value: &request.value,
             };
-            self.note(Kind::OrderGiven, lease, body.action);
+            self.emit(Kind::OrderGiven, lease, body.action);
             match self.send(upstream, &body).await {
-                Given::Taken => {}
-                Given::Fenced => {
-                    let detail = "the upstream took a newer order: outcome superseded";
+                Delivery::Accepted => {}
+                Delivery::Fenced => {
+                    let detail = "the upstream has accepted a newer order; this one is superseded";
                     return reply(lease, false, detail);
                 }
-                Given::Lost(e) if !upstream.honours_fencing => {
-                    self.unclear(upstream);
+                Delivery::Unconfirmed(e) if !upstream.honours_fencing => {
+                    self.set_in_transit(upstream);
                     return reply(lease, false, &format!("outcome unknown: {e}; order again"));
                 }
-                Given::Unsent(e) | Given::Lost(e) => {
+                Delivery::Failed(e) | Delivery::Unconfirmed(e) => {
                     log::warn!("order to {}: {e}", upstream.name);
                 }
             }
@@ -199,7 +199,7 @@
                 Ok(loaded) if loaded.values.get(body.action) == Some(&request.value) => {
                     return reply(lease, true, "");
                 }
-                Ok(_) => detail = "the upstream's state doesn't match".to_owned(),
+                Ok(_) => detail = "the upstream's state does not match the order".to_owned(),
                 Err(e) => detail = e,
             }
         }
@@ -210,21 +210,23 @@
         )
     }
 
-    async fn send(&self, upstream: &Upstream, body: &OrderBody<'_>) -> Given {
+    async fn send(&self, upstream: &Upstream, body: &OrderBody<'_>) -> Delivery {
         let url = format!("http://{}/orders", upstream.addr);
         let text = serde_json::to_string(body).unwrap_or_default();
         let request = match self.http.post(url) {
             Ok(request) => request.body(text),
-            Err(e) => return Given::Unsent(e.to_string()),
+            Err(e) => return Delivery::Failed(e.to_string()),
         };
         match compio::time::timeout(CALL_TIMEOUT, request.send()).await {
-            Err(_) => Given::Lost("the upstream didn't answer in time".to_owned()),
-            Ok(Err(cyper::Error::HyperClient(e))) if e.is_connect() => Given::Unsent(e.to_string()),
-            Ok(Err(e)) => Given::Lost(e.to_string()),
+            Err(_) => Delivery::Unconfirmed("the order request timed out".to_owned()),
+            Ok(Err(cyper::Error::HyperClient(e))) if e.is_connect() => {
+                Delivery::Failed(e.to_string())
+            }
+            Ok(Err(e)) => Delivery::Unconfirmed(e.to_string()),
             Ok(Ok(response)) => match response.status() {
-                StatusCode::CONFLICT => Given::Fenced,
-                status if status.is_success() => Given::Taken,
-                status => Given::Unsent(format!("the upstream answered {status}")),
+                StatusCode::CONFLICT => Delivery::Fenced,
+                status if status.is_success() => Delivery::Accepted,
+                status => Delivery::Failed(format!("the upstream answered with status {status}")),
             },
         }
     }
@@ -238,7 +240,7 @@
             serde_json::from_slice(&body).map_err(|e| e.to_string())
         };
         let timed = compio::time::timeout(CALL_TIMEOUT, call).await;
-        timed.unwrap_or_else(|_| Err("the upstream didn't show its state in time".to_owned()))
+        timed.unwrap_or_else(|_| Err("reading the upstream's state timed out".to_owned()))
     }
 
     fn upstream(&self, name: &str) -> Option<Upstream> {
@@ -247,23 +249,24 @@
         upstreams.find(|u| u.name == name).cloned()
     }
 
-    /// An order whose end this router doesn't know may be under way.
-    fn unclear(&mut self, upstream: &Upstream) {
+    /// Records that an order with an unknown outcome may be in transit to `upstream`.
+    fn set_in_transit(&mut self, upstream: &Upstream) {
         if !upstream.honours_fencing {
             let until_ms = self.clock.now_ms() + u64::from(upstream.longest_pause_ms);
             let name = Name::from(upstream.name.as_str());
-            self.clear_from_ms.insert(name, until_ms);
+            self.in_transit_until_ms.insert(name, until_ms);
         }
     }
 
-    fn unclear_ms(&self, upstream: &Name) -> Option<u64> {
-        let until_ms = self.clear_from_ms.get(upstream)?;
+    /// Returns for how long an earlier order may still be in transit.
+    fn in_transit_ms(&self, upstream: &Name) -> Option<u64> {
+        let until_ms = self.in_transit_until_ms.get(upstream)?;
         until_ms
             .checked_sub(self.clock.now_ms())
             .filter(|ms| *ms > 0)
     }
 
-    fn note(&self, kind: Kind, lease: &Lease, detail: &str) {
+    fn emit(&self, kind: Kind, lease: &Lease, detail: &str) {
         self.events.emit(kind, |e| {
             e.upstream = lease.upstream.to_string();
             e.detail = format!("fencing {} {detail}", lease.fencing);
--- a/src/serve/peers/join.rs
+++ b/src/serve/peers/join.rs
@@ -1,7 +1,7 @@
-//! What a router that starts asks of one that runs: everyone the other knows of.
+//! Fetches the membership from a running router at start.
 //!
-//! The platform's list names hosts that are gone and not yet those that just came. Without this,
-//! a new router takes dead ones for homes until its own probes failed, one after the other.
+//! The platform's list may contain dead hosts and lack new ones. Without the fetch, a new router would
+//! take dead hosts for homes until its own probes to them fail, one after the other.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::serve::SharedCtx;
 use crate::util::Name;
 
-/// How many are asked, one after the other, until one answers.
-const TRIES: usize = 5;
-/// After this long without a list the router starts on its own.
-const LIST_WAIT: Duration = Duration::from_secs(10);
+/// How many peers are tried in turn until one answers.
+const MAX_PEERS: usize = 5;
+/// The router starts without a fetch if the platform's list has not arrived by then.
+const LIST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Asks in the background.
+/// Starts the fetch in the background.
 pub(crate) fn spawn(ctx: SharedCtx, peers: PeerClient) {
     compio::runtime::spawn(async move { join(&ctx, &peers).await }).detach();
 }
@@ -27,25 +27,25 @@
 async fn join(ctx: &SharedCtx, peers: &PeerClient) {
     let mut fleet = ctx.fleet.clone();
     let listed = fleet.wait_for(|view| view.members.len() > 1);
-    if !matches!(compio::time::timeout(LIST_WAIT, listed).await, Ok(Ok(_))) {
+    if !matches!(compio::time::timeout(LIST_TIMEOUT, listed).await, Ok(Ok(_))) {
         return;
     }
-    for addr in others(ctx) {
-        let asked = peers.ask(&addr, MEMBERS, &MembersAsk {}).await;
-        match asked {
+    for addr in sample_peers(ctx) {
+        let reply = peers.ask(&addr, MEMBERS, &MembersAsk {}).await;
+        match reply {
             Ok(MembersGive { members }) => {
                 let members = members.into_iter().map(Member::from).collect();
                 ctx.gossip.note(Note::Told(members));
                 return;
             }
-            Err(e) => log::debug!("{addr} tells no members: {e}"),
+            Err(e) => log::debug!("fetching members from {addr} failed: {e}"),
         }
     }
 }
 
-fn others(ctx: &SharedCtx) -> Vec<Name> {
+fn sample_peers(ctx: &SharedCtx) -> Vec<Name> {
     let view = ctx.fleet();
-    let others = view.members.iter().filter(|m| m.host != ctx.host);
-    let addrs = others.map(|m| m.peer_addr.clone());
-    addrs.choose_multiple(&mut rand::rng(), TRIES)
+    let peers = view.members.iter().filter(|m| m.host != ctx.host);
+    let addrs = peers.map(|m| m.peer_addr.clone());
+    addrs.choose_multiple(&mut rand::rng(), MAX_PEERS)
 }
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers to other routers' requests and questions, and what a router that starts asks them.
+//! Handles peers' requests, and fetches membership and configuration from peers.
 
 pub(crate) mod join;
 pub(crate) mod states;
@@ -18,43 +18,48 @@
 use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{ConfigAsk, ConfigGive, Forward, Frame};
-use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, give_claim, take_note};
+use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, handle_claim, handle_note};
 use crate::serve::route::dispatch::Dispatch;
-use crate::serve::route::once::Once;
+use crate::serve::route::once::AtMostOnce;
 use crate::serve::{SharedCtx, stop};
 use crate::stats;
 
-/// Answers of a router on the project's own log.
+/// Handles peers' requests at a router that runs on the project's own log.
 #[derive(Clone)]
-pub(crate) struct Answers {
+pub(crate) struct PeerHandler {
     pub(crate) ctx: SharedCtx,
     pub(crate) dispatch: Dispatch,
 }
 
-impl Questions for Answers {
+impl Questions for PeerHandler {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         let Self { ctx, dispatch } = self;
         match path {
             FORWARD => forward(ctx, dispatch, body).await,
-            CLAIM => reply(CLAIM, body, async |ask| give_claim(ctx, ask).await).await,
-            CLAIM_NOTE => reply(CLAIM_NOTE, body, async |note| take_note(ctx, note)).await,
-            CONFIG => reply(CONFIG, body, async |ask| give_config(ctx, &ask)).await,
+            CLAIM => reply(CLAIM, body, async |ask| handle_claim(ctx, ask).await).await,
+            CLAIM_NOTE => reply(CLAIM_NOTE, body, async |note| handle_note(ctx, note)).await,
+            CONFIG => reply(CONFIG, body, async |ask| handle_config(ctx, &ask)).await,
             MEMBERS => {
                 reply(MEMBERS, body, async |ask| {
                     server::members(&ctx.gossip, ask).await
                 })
                 .await
             }
-            WARM => reply(WARM, body, async |ask| dispatch.warm(ask)).await,
+            WARM => reply(WARM, body, async |ask| dispatch.handle_warm(ask)).await,
             DEMAND => reply(DEMAND, body, async |report| dispatch.grant(&report)).await,
-            CONVICTED => reply(CONVICTED, body, async |told| dispatch.convicted(&told)).await,
+            CONVICTED => {
+                reply(CONVICTED, body, async |suspicion| {
+                    dispatch.add_conviction(&suspicion)
+                })
+                .await
+            }
             _ => status(StatusCode::NOT_FOUND),
         }
     }
 }
 
-/// The state, if it is newer than the asker's.
-fn give_config(ctx: &SharedCtx, ask: &ConfigAsk) -> ConfigGive {
+/// Returns the configuration's offset and digest, and its state if newer than the requester's.
+fn handle_config(ctx: &SharedCtx, ask: &ConfigAsk) -> ConfigGive {
     let config = ctx.config();
     let newer = config.state.offset > ask.have_offset;
     ConfigGive {
@@ -76,22 +81,22 @@
     };
     ctx.events.observe(forward.stamp.as_ref());
     let request_id = forward.request_id.clone();
-    count_misled(ctx, &forward);
+    count_misrouted(ctx, &forward);
     let frames = match stop::admit(&ctx.drain) {
         Ok(()) if forward.upstream.is_empty() => {
-            Once::new(ctx.clone(), dispatch.clone())
-                .relayed(forward)
+            AtMostOnce::new(ctx.clone(), dispatch.clone())
+                .serve_forwarded(forward)
                 .await
         }
         Ok(()) => dispatch.serve_here(forward),
         Err(refused) => refuse::frames(refused),
     };
-    Response::new(encode_all(request_id, frames, ctx.events.clone()))
+    Response::new(encode_frames(request_id, frames, ctx.events.clone()))
 }
 
-/// Counts requests whose sender holds this router for a home that by its own view it isn't. Such
-/// a request is served or refused here: a second hop could go round in a circle while views differ.
-fn count_misled(ctx: &SharedCtx, forward: &Forward) {
+/// Counts requests for an upstream whose home, in this router's view, is another router. They are
+/// served or refused here: forwarding them again could loop while the routers' views differ.
+fn count_misrouted(ctx: &SharedCtx, forward: &Forward) {
     let config = ctx.config();
     let Some(upstream) = config.upstream(&forward.service, &forward.upstream) else {
         return;
@@ -103,7 +108,7 @@
     }
 }
 
-fn encode_all(request_id: String, mut frames: Frames, events: Events) -> Answer {
+fn encode_frames(request_id: String, mut frames: Frames, events: Events) -> Answer {
     let (tx, rx) = mpsc::channel(CHANNEL);
     compio::runtime::spawn(async move {
         while let Some(body) = next_wanted(&mut frames, &tx).await {
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -1,4 +1,4 @@
-//! Asks other routers for the configuration when the log can't tell it.
+//! Fetches the configuration from peers when the log is unavailable or has a gap.
 
 use tokio::sync::mpsc;
 
@@ -8,44 +8,49 @@
 use crate::schema::peer::{ConfigAsk, ConfigGive};
 use crate::serve::SharedCtx;
 
-/// Peers asked for one question, in turn from one question to the next.
-const ASKED: usize = 2;
+/// Peers queried per request, in rotation from one request to the next.
+const PEERS_PER_QUERY: usize = 2;
 
-/// Answers the keeper's questions until the router stops.
+/// Serves the configuration task's requests until the router stops.
 pub(crate) async fn answer(
     ctx: SharedCtx,
     peers: PeerClient,
     mut questions: mpsc::Receiver<PeerQuestion>,
 ) {
-    let mut turn = 0;
+    let mut next_peer = 0;
     while let Some((ask, reply)) = questions.recv().await {
-        let give = ask_some(&ctx, &peers, ask, &mut turn).await;
-        // The keeper ends only with the router.
-        let _ = reply.send(give);
+        let newest = newest_reply(&ctx, &peers, ask, &mut next_peer).await;
+        // The receiver closes only when the router stops.
+        let _ = reply.send(newest);
     }
 }
 
-/// The newest of a few answers.
-async fn ask_some(
+/// Queries a few peers and returns the newest configuration.
+async fn newest_reply(
     ctx: &SharedCtx,
     peers: &PeerClient,
     ask: ConfigAsk,
-    turn: &mut usize,
+    next_peer: &mut usize,
 ) -> Option<ConfigGive> {
     let fleet = ctx.fleet();
     let other = |m: &&Member| m.host != ctx.host && m.takes_work();
     let others: Vec<&Member> = fleet.members.iter().filter(other).collect();
     let mut best: Option<ConfigGive> = None;
-    for _ in 0..ASKED.min(others.len()) {
-        let member = others[*turn % others.len()];
-        *turn = turn.wrapping_add(1);
+    for _ in 0..PEERS_PER_QUERY.min(others.len()) {
+        let member = others[*next_peer % others.len()];
+        *next_peer = next_peer.wrapping_add(1);
         match peers
             .ask::<_, ConfigGive>(&member.peer_addr, CONFIG, &ask)
             .await
         {
-            Ok(give) if best.as_ref().is_none_or(|b| give.offset > b.offset) => best = Some(give),
+            Ok(reply) if best.as_ref().is_none_or(|b| reply.offset > b.offset) => {
+                best = Some(reply)
+            }
             Ok(_) => {}
-            Err(e) => log::debug!("{} gave no configuration: {e}", member.host),
+            Err(e) => log::debug!(
+                "fetching the configuration from {} failed: {e}",
+                member.host
+            ),
         }
     }
     best
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -1,4 +1,4 @@
-//! The way of a claim from the router that a caller reached to the one that reads its slot.
+//! Sends claims from the router that received a request to the router that reads the claim's slot.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 pub(crate) const CLAIM: &str = "/claim";
 pub(crate) const CLAIM_NOTE: &str = "/claim-note";
 
-/// Carries claims and notes.
+/// Sends claims, releases and outcomes to the reader of their slot.
 #[derive(Clone)]
 pub(crate) struct ClaimLink {
     ctx: SharedCtx,
@@ -30,12 +30,12 @@
         Self { ctx, peers }
     }
 
-    /// Asks the router that reads the key's slot, so that each slot is read and grouped by one; if
-    /// that one doesn't answer, reads the slot here. Either way the log decides.
+    /// Claims the key through the router that reads its slot, so that one router reads and groups each
+    /// slot. If that router does not answer, reads the slot here. Either way the log decides.
     ///
-    /// A claim whose answer was lost is given up for good and a fresh one made. Asked for again
-    /// under its old id, it could be won here while the first reader, having failed to find it,
-    /// releases it: then a third claim would run the request beside this one.
+    /// A claim whose answer was lost is released and replaced by one with a new id. If it were retried
+    /// under the old id, it could be won here while the first reader, which did not find it, releases
+    /// it; a third claim could then run the request a second time.
     pub(crate) async fn claim(&self, claim: &mut Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         if let Some(addr) = self.reader(&claim.key) {
             let ask = ClaimAsk {
@@ -43,12 +43,12 @@
                 key_ms,
             };
             match self.peers.ask(&addr, CLAIM, &ask).await {
-                Ok(give) => return verdict(give),
-                Err(e) => log::debug!("claims reader {addr}: {e}"),
+                Ok(reply) => return from_reply(reply),
+                Err(e) => log::debug!("claim at reader {addr} failed, reading the slot here: {e}"),
             }
-            let given_up = std::mem::replace(&mut claim.id, slot::mint_id());
+            let abandoned = std::mem::replace(&mut claim.id, slot::mint_id());
             let release = Release {
-                id: given_up,
+                id: abandoned,
                 key: claim.key.clone(),
             };
             self.ctx.claims.note(&claim.key, Record::Release(release));
@@ -56,7 +56,7 @@
         self.ctx.claims.claim(claim.clone(), key_ms).await
     }
 
-    /// The other router that reads the key's slot, if it isn't this one.
+    /// Returns the address of the router that reads the key's slot, if it is not this one.
     fn reader(&self, key: &str) -> Option<Name> {
         let stream = claims::stream(claims::slot(key));
         let fleet = self.ctx.fleet();
@@ -64,8 +64,8 @@
         (reader.host != self.ctx.host).then(|| reader.peer_addr.clone())
     }
 
-    /// Has a release or an outcome appended.
-    pub(crate) async fn note(&self, key: &str, note: ClaimNote) {
+    /// Appends a release or an outcome through the slot's reader, or here if it does not answer.
+    pub(crate) async fn append_note(&self, key: &str, note: ClaimNote) {
         if let Some(addr) = self.reader(key)
             && self
                 .peers
@@ -75,20 +75,20 @@
         {
             return;
         }
-        take_note(&self.ctx, note);
+        handle_note(&self.ctx, note);
     }
 }
 
-/// Settles a peer's claim here.
-pub(crate) async fn give_claim(ctx: &SharedCtx, ask: ClaimAsk) -> ClaimGive {
+/// Handles a peer's claim.
+pub(crate) async fn handle_claim(ctx: &SharedCtx, ask: ClaimAsk) -> ClaimGive {
     let Some(claim) = ask.claim else {
-        return give(Err(LogDown));
+        return to_reply(Err(LogDown));
     };
-    give(ctx.claims.claim(claim, ask.key_ms).await)
+    to_reply(ctx.claims.claim(claim, ask.key_ms).await)
 }
 
-/// Queues a peer's release or outcome here.
-pub(crate) fn take_note(ctx: &SharedCtx, note: ClaimNote) -> Done {
+/// Queues a peer's claim, release or outcome for the log.
+pub(crate) fn handle_note(ctx: &SharedCtx, note: ClaimNote) -> Done {
     if let Some(claim) = note.claim {
         let key = claim.key.clone();
         ctx.claims.note(&key, Record::Claim(claim));
@@ -104,8 +104,8 @@
     Done {}
 }
 
-fn give(settled: Result<Verdict, LogDown>) -> ClaimGive {
-    match settled {
+fn to_reply(result: Result<Verdict, LogDown>) -> ClaimGive {
+    match result {
         Ok(Verdict::Won) => ClaimGive {
             won: true,
             ..ClaimGive::default()
@@ -127,14 +127,14 @@
     }
 }
 
-fn verdict(give: ClaimGive) -> Result<Verdict, LogDown> {
-    if give.log_down {
+fn from_reply(reply: ClaimGive) -> Result<Verdict, LogDown> {
+    if reply.log_down {
         return Err(LogDown);
     }
-    if give.won {
+    if reply.won {
         return Ok(Verdict::Won);
     }
-    let standing = match (give.holder, give.outcome) {
+    let standing = match (reply.holder, reply.outcome) {
         (Some(holder), Some(outcome)) => Standing::Done(holder, outcome),
         (Some(holder), None) => Standing::Held(holder),
         _ => Standing::Free,
@@ -142,7 +142,7 @@
     Ok(Verdict::Lost(standing))
 }
 
-/// How the settings say that claims are grouped.
+/// Returns the settings for grouping claims.
 pub(crate) fn grouping(platform: &Platform) -> Grouping {
     Grouping {
         window: Duration::from_millis(platform.claim_window_ms.into()),
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a parsed request to an answer: which upstream, which home, here or one hop away.
+//! Sends a parsed request to an upstream's home, at this router or one hop away, and retries.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,20 +22,20 @@
 use crate::serve::SharedCtx;
 use crate::serve::home::Homes;
 use crate::serve::home::admit::{Admission, cost};
-use crate::serve::home::limits::Accounts;
+use crate::serve::home::limits::AccountLimits;
 use crate::serve::route::placer::{self, Placer, Plan};
 use crate::stats;
 use crate::util::Name;
 
-const CHANNEL: usize = 64;
-/// When to come back to a service that has no upstream now.
-const NO_UPSTREAM_MS: u64 = 1_000;
+const CHANNEL_CAPACITY: usize = 64;
+/// Retry delay for a service that has no upstream that takes work.
+const NO_UPSTREAM_RETRY_MS: u64 = 1_000;
 
-/// Upstreams that may turn out to be leaving before a request is given up.
-const MAX_MOVED: usize = 8;
+/// While fewer upstreams have failed, a leaving one is skipped without using the retry budget.
+const MAX_LEAVING: usize = 8;
 
-/// Homes asked for one upstream. Hosts die one at a time but for racks and data centres, and those
-/// leave the view together.
+/// Homes tried for one upstream. Hosts fail one at a time, except for racks and data centres, whose
+/// hosts leave the view together.
 const MAX_HOMES: usize = 3;
 
 /// Sends requests to the homes of their upstreams.
@@ -44,26 +44,26 @@
     ctx: SharedCtx,
     peers: PeerClient,
     placer: Placer,
-    accounts: Accounts,
+    accounts: AccountLimits,
     admission: Rc<Admission>,
 }
 
-/// The first frame of an answer, and the rest.
+/// An answer that has started: its first frame and the remaining ones.
 pub(crate) struct Started {
     pub(crate) first: Body,
     pub(crate) rest: Frames,
 }
 
-/// How one try at one upstream ended.
-enum Tried {
+/// The result of one attempt at one upstream.
+enum Attempt {
     Started(Started),
-    /// It takes no more now: on to the next of the plan.
+    /// The upstream is over its load bound: try the next of the plan.
     Next(Refusal),
-    /// It is full but not over its bound: wait there if no other has room.
+    /// The upstream is full but within its load bound: queue there if no other has a free slot.
     Full(Refusal),
-    /// It can't be reached or is leaving, and no byte of the request left.
+    /// The upstream is unreachable or leaving, and no byte of the request was sent to it.
     Failed(Refusal),
-    /// Final for the caller.
+    /// The refusal is final for the caller.
     Refused(Refusal),
 }
 
@@ -74,7 +74,7 @@
         peers: PeerClient,
         http: cyper::Client,
     ) -> Self {
-        let accounts = Accounts::spawn(ctx.clone(), peers.clone());
+        let accounts = AccountLimits::spawn(ctx.clone(), peers.clone());
         let placer = Placer::new(ctx.clone(), peers.clone(), homes.view().clone());
         let admission = Admission::new(ctx.clone(), homes, accounts.clone(), peers.clone(), http);
         Self {
@@ -90,11 +90,11 @@
         self.peers.clone()
     }
 
-    /// Tries the request's upstreams in order until one starts it or gives it up.
+    /// Tries the request's upstreams in order until one starts it or it is refused.
     pub(crate) async fn route(&self, mut forward: Forward) -> Result<Started, Refusal> {
         if forward.attempt == 0 {
-            let arrived = self.accounts.arrive(&forward.account);
-            arrived.map_err(|r| refuse::message(&r, "the account's rate is used up"))?;
+            let admitted = self.accounts.arrive(&forward.account);
+            admitted.map_err(|r| refuse::message(&r, "the account's rate limit is reached"))?;
             self.placer.first_try(&forward.service);
         }
         let start_ms = self.ctx.clock.now_ms();
@@ -103,32 +103,33 @@
         let mut retries = 0;
         loop {
             let plan = self.placer.plan(&forward, &failed).await;
-            let (name, refused) = match self.follow(&mut forward, plan, &failed).await {
+            let (name, refused) = match self.try_plan(&mut forward, plan, &failed).await {
                 Ok(started) => return Ok(started),
                 Err((Some(name), refused)) => (name, refused),
                 Err((None, refused)) => return Err(refused),
             };
             failed.push(name);
-            if has_moved(&refused) && failed.len() < MAX_MOVED {
+            if is_leaving(&refused) && failed.len() < MAX_LEAVING {
                 continue;
             }
             let spent_ms = self.ctx.clock.now_ms() - start_ms;
             forward.remaining_ms = budget_ms.saturating_sub(spent_ms);
-            let tried = Failed {
+            let attempt = Failed {
                 may_have_run: !refuse::surely_not_run(&refused),
                 retries,
                 remaining_ms: forward.remaining_ms,
             };
-            let Some(pause_ms) = self.placer.pause_ms(tried) else {
-                return Err(self.come_back(refused));
+            let Some(pause_ms) = self.placer.pause_ms(attempt) else {
+                return Err(self.with_retry_delay(refused));
             };
             retries += 1;
             compio::time::sleep(Duration::from_millis(pause_ms)).await;
         }
     }
 
-    /// Tries what the plan names. An upstream that failed is named with its refusal.
-    async fn follow(
+    /// Tries the plan's upstreams in order. The error carries the upstream's name if another plan may
+    /// be tried without it.
+    async fn try_plan(
         &self,
         forward: &mut Forward,
         plan: Plan,
@@ -137,13 +138,13 @@
         let mut last = plan.last.clone();
         let mut full = false;
         let resume = self
-            .resumed_at(forward)
+            .resume_upstream(forward)
             .filter(|name| !failed.contains(name));
         if let Some(name) = resume {
             match self.try_at(forward, &name, &plan, true).await {
-                Tried::Started(started) => return Ok(started),
-                Tried::Failed(refused) => return Err((Some(name), refused)),
-                Tried::Next(_) | Tried::Full(_) | Tried::Refused(_) => {}
+                Attempt::Started(started) => return Ok(started),
+                Attempt::Failed(refused) => return Err((Some(name), refused)),
+                Attempt::Next(_) | Attempt::Full(_) | Attempt::Refused(_) => {}
             }
         }
         for name in &plan.tries {
@@ -151,61 +152,68 @@
                 continue;
             }
             match self.try_at(forward, name, &plan, false).await {
-                Tried::Started(started) => return Ok(started),
-                Tried::Next(_) => {}
-                Tried::Full(_) if full => {}
-                Tried::Full(_) => {
+                Attempt::Started(started) => return Ok(started),
+                Attempt::Next(_) => {}
+                Attempt::Full(_) if full => {}
+                Attempt::Full(_) => {
                     full = true;
                     last = Some(name.clone());
                 }
-                Tried::Failed(refused) => return Err((Some(name.clone()), refused)),
-                Tried::Refused(refused) => return Err((None, refused)),
+                Attempt::Failed(refused) => return Err((Some(name.clone()), refused)),
+                Attempt::Refused(refused) => return Err((None, refused)),
             }
         }
         let Some(name) = last else {
             let detail = "the service has no upstream that takes work";
-            let base_ms = spread_ms(NO_UPSTREAM_MS, &mut rand::rng());
+            let base_ms = spread_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
             return Err((None, refuse::not_run(Cause::NoUpstream, base_ms, detail)));
         };
         match self.try_at(forward, &name, &plan, true).await {
-            Tried::Started(started) => Ok(started),
-            Tried::Failed(refused) => Err((Some(name), refused)),
-            Tried::Next(refused) | Tried::Full(refused) | Tried::Refused(refused) => {
-                Err((None, self.come_back(refused)))
+            Attempt::Started(started) => Ok(started),
+            Attempt::Failed(refused) => Err((Some(name), refused)),
+            Attempt::Next(refused) | Attempt::Full(refused) | Attempt::Refused(refused) => {
+                Err((None, self.with_retry_delay(refused)))
             }
         }
     }
 
-    /// The engine that may still hold a broken stream goes first.
-    fn resumed_at(&self, forward: &Forward) -> Option<Name> {
+    /// Returns the engine that may still have an interrupted stream, which is tried first.
+    fn resume_upstream(&self, forward: &Forward) -> Option<Name> {
         let config = self.ctx.config();
         let upstream = config.upstream(&forward.service, &forward.resume_upstream)?;
         Some(upstream.name.as_str().into())
     }
 
-    async fn try_at(&self, forward: &mut Forward, name: &Name, plan: &Plan, last: bool) -> Tried {
+    async fn try_at(&self, forward: &mut Forward, name: &Name, plan: &Plan, last: bool) -> Attempt {
         let config = self.ctx.config();
         let Some(upstream) = config.upstream(&forward.service, name).cloned() else {
-            let detail = "the upstream has just been taken out";
-            return Tried::Failed(refuse::not_run(Cause::NoUpstream, NO_UPSTREAM_MS, detail));
+            let detail = "the upstream was removed from the configuration";
+            return Attempt::Failed(refuse::not_run(
+                Cause::NoUpstream,
+                NO_UPSTREAM_RETRY_MS,
+                detail,
+            ));
         };
-        self.address(forward, name, plan, last);
+        self.set_target(forward, name, plan, last);
         let sent = Instant::now();
         let Some((first, rest)) = self.first_frame(forward, &upstream).await else {
             self.placer.failed(forward, name);
             let refusal = refusal::Refusal::unknown(Cause::UpstreamFailed);
-            return Tried::Refused(refuse::message(&refusal, "the home broke off"));
+            return Attempt::Refused(refuse::message(
+                &refusal,
+                "the upstream's home sent no answer",
+            ));
         };
         match first {
             Body::Refused(refused) => self.refused(forward, name, refused),
             first => {
                 self.started(forward, name, &first, sent);
-                Tried::Started(Started { first, rest })
+                Attempt::Started(Started { first, rest })
             }
         }
     }
 
-    fn address(&self, forward: &mut Forward, name: &Name, plan: &Plan, last: bool) {
+    fn set_target(&self, forward: &mut Forward, name: &Name, plan: &Plan, last: bool) {
         forward.upstream = name.to_string();
         forward.attempt += 1;
         forward.last_choice = last;
@@ -225,7 +233,7 @@
             return;
         };
         match &head.load {
-            Some(load) => self.placer.loads.heard(name, load),
+            Some(load) => self.placer.loads.record_reply(name, load),
             None => self.placer.loads.sent(name, work_ms(forward)),
         }
         if head.status >= u32::from(http::StatusCode::INTERNAL_SERVER_ERROR.as_u16()) {
@@ -235,17 +243,17 @@
         let took_ms = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.placer.answered(forward, name, took_ms);
         if forward.prompt_tokens > 0 {
-            self.placer.served(forward, name);
+            self.placer.record_served(forward, name);
         }
     }
 
-    fn refused(&self, forward: &Forward, name: &Name, refused: Refusal) -> Tried {
+    fn refused(&self, forward: &Forward, name: &Name, refused: Refusal) -> Attempt {
         if let Some(load) = &refused.load {
-            self.placer.loads.heard(name, load);
+            self.placer.loads.record_reply(name, load);
         }
         if !refuse::surely_not_run(&refused) {
             self.placer.failed(forward, name);
-            return Tried::Started(Started {
+            return Attempt::Started(Started {
                 first: Body::Refused(refused),
                 rest: mpsc::channel(1).1,
             });
@@ -255,31 +263,31 @@
             e.detail = format!("{}: {}", refused.cause, refused.detail);
         });
         match refused.cause.parse() {
-            Ok(Cause::OverBound) => Tried::Next(refused),
-            Ok(Cause::Full) => Tried::Full(refused),
+            Ok(Cause::OverBound) => Attempt::Next(refused),
+            Ok(Cause::Full) => Attempt::Full(refused),
             Ok(Cause::NoUpstream | Cause::Draining | Cause::HomeUnreachable) => {
-                Tried::Failed(refused)
+                Attempt::Failed(refused)
             }
             Ok(Cause::UpstreamFailed) => {
                 self.placer.failed(forward, name);
-                Tried::Failed(refused)
+                Attempt::Failed(refused)
             }
-            _ => Tried::Refused(refused),
+            _ => Attempt::Refused(refused),
         }
     }
 
-    /// No refusal without a time to come back.
-    fn come_back(&self, mut refused: Refusal) -> Refusal {
+    /// Sets a retry delay on a refusal that has none.
+    fn with_retry_delay(&self, mut refused: Refusal) -> Refusal {
         if refused.retry_after_ms == 0 {
-            refused.retry_after_ms = spread_ms(NO_UPSTREAM_MS, &mut rand::rng());
+            refused.retry_after_ms = spread_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
         }
         refused
     }
 
-    /// Asks the upstream's homes in order until one can be reached.
+    /// Sends the request to the upstream's homes in order until one can be reached.
     ///
-    /// A home that has just died is still in the view for seconds. Its refused connection says
-    /// nothing of the upstream, so the next in order stands in, as it will once the view follows.
+    /// A home that has just died stays in the view for seconds. Its refused connection says nothing
+    /// about the upstream, so the next in order takes over, as it will once the view is updated.
     async fn first_frame(&self, forward: &Forward, upstream: &Upstream) -> Option<(Body, Frames)> {
         let fleet = self.ctx.fleet();
         let order = homes::order(&fleet, &upstream.name, &upstream.data_center);
@@ -292,7 +300,7 @@
                 pin_mut!(first, dead);
                 match select(first, dead).await {
                     Either::Left((first, _)) => first?,
-                    // A frozen home keeps its connections: without this its callers would wait
+                    // A frozen home keeps its connections open, so callers would otherwise wait
                     // until their deadline.
                     Either::Right(_) => return None,
                 }
@@ -323,40 +331,40 @@
         self.peers.forward(&home.peer_addr, &forward).await
     }
 
-    /// Admits and runs the request at this router, as its upstream's home: never another hop.
+    /// Admits and runs the request at this router as its upstream's home, without another hop.
     pub(crate) fn serve_here(&self, forward: Forward) -> Frames {
         if let Err(refused) = self.ctx.may_admit() {
             return refuse::frames(refused);
         }
-        let (tx, rx) = mpsc::channel(CHANNEL);
+        let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
         let admission = self.admission.clone();
         compio::runtime::spawn(async move { admission.run(forward, tx).await }).detach();
         rx
     }
 
-    /// The upstream where `chat` was served last.
+    /// Returns the upstream where `chat` was served last.
     pub(crate) async fn last_served(&self, service: &str, chat: ChatKey) -> Option<Name> {
         self.placer.last_served(service, chat).await
     }
 
-    /// Answers a router that asks or tells where a chat was served last.
-    pub(crate) fn warm(&self, ask: WarmAsk) -> WarmGive {
-        self.placer.answer(ask)
+    /// Handles another router's lookup or update of a chat's location.
+    pub(crate) fn handle_warm(&self, ask: WarmAsk) -> WarmGive {
+        self.placer.handle_warm(ask)
     }
 
-    /// Takes a conviction that another router tells.
-    pub(crate) fn convicted(&self, suspicion: &Suspicion) -> Done {
-        self.admission.told(suspicion)
+    /// Records a conviction received from another router.
+    pub(crate) fn add_conviction(&self, suspicion: &Suspicion) -> Done {
+        self.admission.add_conviction(suspicion)
     }
 
-    /// Hands out shares of accounts' limits.
+    /// Grants shares of account limits.
     pub(crate) fn grant(&self, report: &DemandReport) -> ShareGrant {
         self.accounts.grant(report)
     }
 }
 
-/// The upstream or its home is going, which says nothing against trying another at once.
-fn has_moved(refused: &Refusal) -> bool {
+/// Whether the upstream or its home is leaving, in which case another may be tried at once.
+fn is_leaving(refused: &Refusal) -> bool {
     matches!(
         refused.cause.parse(),
         Ok(Cause::NoUpstream | Cause::Draining)
--- a/src/serve/route/kept.rs
+++ b/src/serve/route/kept.rs
@@ -1,4 +1,4 @@
-//! Answers of unrepeatable requests, kept for re-sends.
+//! Answers to non-idempotent requests, stored for re-sends.
 
 use tokio::sync::mpsc;
 
@@ -7,10 +7,10 @@
 use crate::schema::records::{Claim, Outcome};
 use crate::serve::route::dispatch::Started;
 
-/// Longer answers are not kept: a re-send then gets the status alone.
-const KEEP_MAX_BYTES: usize = 64 << 10;
+/// Longer answers are not stored; a re-send then gets only the status.
+const MAX_STORED_BYTES: usize = 64 << 10;
 
-/// The outcome of a run that nobody knows the end of.
+/// Returns the outcome of a run whose end is unknown.
 pub(crate) fn unknown(claim: &Claim) -> Outcome {
     Outcome {
         id: claim.id.clone(),
@@ -19,16 +19,16 @@
     }
 }
 
-/// Collects the answer that is to be kept.
-pub(crate) struct Kept {
+/// Records an answer to store it as an outcome.
+pub(crate) struct Recorder {
     status: u32,
     content_type: String,
     body: Vec<u8>,
     too_long: bool,
-    whole: bool,
+    complete: bool,
 }
 
-impl Kept {
+impl Recorder {
     pub(crate) fn new(first: &Body) -> Self {
         let head = match first {
             Body::Head(head) => head.clone(),
@@ -41,23 +41,23 @@
             content_type: content_type.unwrap_or_default(),
             body: Vec::new(),
             too_long: false,
-            whole: false,
+            complete: false,
         }
     }
 
-    pub(crate) fn take(&mut self, body: &Body) {
+    pub(crate) fn record(&mut self, body: &Body) {
         match body {
-            Body::Chunk(data) if self.body.len() + data.len() <= KEEP_MAX_BYTES => {
+            Body::Chunk(data) if self.body.len() + data.len() <= MAX_STORED_BYTES => {
                 self.body.extend_from_slice(data);
             }
             Body::Chunk(_) => self.too_long = true,
-            Body::End(_) => self.whole = true,
+            Body::End(_) => self.complete = true,
             Body::Head(_) | Body::Refused(_) => {}
         }
     }
 
     pub(crate) fn outcome(self, claim: &Claim) -> Outcome {
-        if !self.whole {
+        if !self.complete {
             return unknown(claim);
         }
         let text = String::from_utf8(self.body).ok();
@@ -73,17 +73,17 @@
     }
 }
 
-/// The kept answer, as if the upstream gave it now.
+/// Replays a stored answer.
 pub(crate) fn answer(outcome: Outcome) -> Started {
     let (tx, rest) = mpsc::channel(2);
-    let kept = if outcome.body_left_out {
+    let stored = if outcome.body_left_out {
         "status"
     } else {
         "whole"
     };
     let headers = [
         ("content-type", outcome.content_type.as_str()),
-        ("x-kept-answer", kept),
+        ("x-kept-answer", stored),
     ];
     let headers = headers.map(|(name, value)| Header {
         name: name.to_owned(),
--- a/src/serve/route/keys.rs
+++ b/src/serve/route/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys as callers send them, and what refusals say of them.
+//! Idempotency keys sent by callers, and the refusals about them.
 
 use http::HeaderMap;
 use uuid::Uuid;
@@ -13,63 +13,67 @@
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A refusal that came before anybody could tell whether an earlier try of the key ran.
+/// Sets the run state of a refusal to unknown, for a key of which an earlier attempt may have run.
 ///
-/// Failure guarded against: told "not run", a caller whose earlier try was lost midway sends the
-/// request anew under another key, and it runs twice. This try surely wasn't run, but the run state
-/// speaks of the key.
-pub(crate) fn in_doubt(refused: peer::Refusal) -> peer::Refusal {
+/// Failure guarded against: a caller whose earlier attempt lost its connection receives "not run",
+/// sends the request again with another key, and it runs twice. This attempt was not run, but the run
+/// state is that of the key.
+pub(crate) fn run_state_unknown(refused: peer::Refusal) -> peer::Refusal {
     peer::Refusal {
         run_state: RunState::Unknown.to_string(),
         detail: format!(
-            "{}; this try was not run, an earlier one may have",
+            "{}; this attempt was not run, but an earlier one may have been",
             refused.detail
         ),
         ..refused
     }
 }
 
-/// As [`in_doubt`], for a caller that sent a key.
-pub(crate) fn in_doubt_if_keyed(headers: &HeaderMap, refused: peer::Refusal) -> peer::Refusal {
+/// Applies [`run_state_unknown`] if the caller sent a key.
+pub(crate) fn run_state_unknown_if_keyed(
+    headers: &HeaderMap,
+    refused: peer::Refusal,
+) -> peer::Refusal {
     if headers.contains_key(IDEMPOTENCY_KEY) {
-        return in_doubt(refused);
+        return run_state_unknown(refused);
     }
     refused
 }
 
-pub(crate) fn is_unknown(refused: &peer::Refusal) -> bool {
+pub(crate) fn is_outcome_unknown(refused: &peer::Refusal) -> bool {
     refused.cause.parse() == Ok(Cause::OutcomeUnknown)
 }
 
-pub(crate) fn not_a_uuid() -> peer::Refusal {
-    let detail = "idempotency-key: must be a UUID of version 7, or a run prefix, a point and one";
+pub(crate) fn invalid_key() -> peer::Refusal {
+    let detail =
+        "idempotency-key: must be a UUID of version 7, or a run prefix, a dot and such a UUID";
     refuse::not_run(Cause::BadRequest, 0, detail)
 }
 
-pub(crate) fn key_age(age: KeyAge) -> Result<(), peer::Refusal> {
+pub(crate) fn check_key_age(age: KeyAge) -> Result<(), peer::Refusal> {
     match age {
         KeyAge::Usable => Ok(()),
-        KeyAge::TooOld => Err(in_doubt(refuse::not_run(
+        KeyAge::TooOld => Err(run_state_unknown(refuse::not_run(
             Cause::KeyTooOld,
             0,
-            "idempotency-key: older than its claims are surely kept",
+            "idempotency-key: its time is older than the claims' retention period",
         ))),
-        KeyAge::Future => Err(in_doubt(refuse::not_run(
+        KeyAge::Future => Err(run_state_unknown(refuse::not_run(
             Cause::BadRequest,
             0,
-            "idempotency-key: its time lies in the future",
+            "idempotency-key: its time is in the future",
         ))),
     }
 }
 
-pub(crate) fn unrepeatable(service: &Service, forward: &Forward) -> bool {
+pub(crate) fn is_non_idempotent(service: &Service, forward: &Forward) -> bool {
     service.non_idempotent.iter().any(|rule| {
         rule.method.eq_ignore_ascii_case(&forward.method)
             && forward.path.starts_with(&rule.path_prefix)
     })
 }
 
-pub(crate) fn mint_key(forward: &mut Forward) {
+pub(crate) fn generate_key(forward: &mut Forward) {
     forward.idempotency_key = Uuid::now_v7().to_string();
     forward.headers.push(Header {
         name: IDEMPOTENCY_KEY.to_owned(),
@@ -82,7 +86,7 @@
     util::hash_parts(&[&forward.service, &forward.method, &forward.path, &body])
 }
 
-/// The time that a UUID of version 7 carries.
+/// Returns the time in a UUID of version 7, in milliseconds since the Unix epoch.
 pub(crate) fn uuid_ms(text: &str) -> Option<u64> {
     let id = Uuid::parse_str(text).ok()?;
     if id.get_version_num() != 7 {
@@ -92,12 +96,12 @@
     Some(seconds * 1_000 + u64::from(nanos) / 1_000_000)
 }
 
-pub(crate) fn lost(detail: &str) -> peer::Refusal {
+pub(crate) fn outcome_unknown(detail: &str) -> peer::Refusal {
     refuse::message(&Refusal::unknown(Cause::OutcomeUnknown), detail)
 }
 
-/// This try got no answer from the router it was passed to.
-pub(crate) fn unreached(refused: &peer::Refusal) -> bool {
+/// Whether the router that the request was forwarded to gave no answer.
+pub(crate) fn is_unreachable(refused: &peer::Refusal) -> bool {
     let cause = refused.cause.parse();
     matches!(cause, Ok(Cause::HomeUnreachable | Cause::UpstreamFailed))
 }
--- a/src/serve/route/mod.rs
+++ b/src/serve/route/mod.rs
@@ -1,8 +1,7 @@
-//! Where a request of the own dialects goes: which upstream, by whose home, and again where it broke
-//! off.
+//! Routing of requests: choice of upstream and home, retries, and resumption of interrupted answers.
 //!
-//! `placer` remembers chats and loads and plans the tries, `dispatch` sends them to the homes,
-//! `resume` keeps a broken answer whole, `once` keeps unrepeatable requests to one run a key.
+//! `placer` tracks chats and loads and plans the attempts, `dispatch` sends them to the homes,
+//! `resume` completes interrupted answers, `once` runs non-idempotent requests at most once per key.
 
 pub(crate) mod claim_link;
 pub(crate) mod dispatch;
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -1,7 +1,7 @@
-//! Unrepeatable requests: at most one run a key, whichever routers the caller tries.
+//! Non-idempotent requests: at most one run per key, whichever routers the caller tries.
 //!
-//! The key is claimed on the log before any byte leaves; see [`crate::log::claims`]. The run goes on
-//! when its caller goes, so that a re-send finds the kept answer.
+//! The key is claimed on the log before any byte is sent; see [`crate::log::claims`]. The run
+//! continues if its caller disconnects, so that a re-send finds the stored answer.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -22,23 +22,23 @@
 use crate::serve::route::dispatch::{Dispatch, Started};
 use crate::serve::route::kept;
 use crate::serve::route::keys::{
-    fingerprint, in_doubt, is_unknown, key_age, lost, mint_key, not_a_uuid, unreached,
-    unrepeatable, uuid_ms,
+    check_key_age, fingerprint, generate_key, invalid_key, is_non_idempotent, is_outcome_unknown,
+    is_unreachable, outcome_unknown, run_state_unknown, uuid_ms,
 };
-use crate::serve::route::tokens::{RunKey, TOKEN_MS};
+use crate::serve::route::tokens::{RUN_KEY_TTL_MS, RunKey};
 use crate::util::wall_ms;
 
-const CHANNEL: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 const STILL_RUNNING_RETRY_MS: u64 = 1_000;
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
-/// Until when a run key may be sent, with what clocks may differ.
-const RUN_KEY_USABLE_MS: u64 = TOKEN_MS + 2 * claims::CLOCK_MARGIN_MS;
-/// A holder's run may end this much later than its deadline.
+/// How long a run key may be sent, including the maximum clock difference.
+const RUN_KEY_USABLE_MS: u64 = RUN_KEY_TTL_MS + 2 * claims::CLOCK_MARGIN_MS;
+/// How long a run may continue after its deadline.
 const RUN_GRACE_MS: u64 = 5_000;
 
-/// Runs unrepeatable requests.
+/// Runs non-idempotent requests.
 #[derive(Clone)]
-pub(crate) struct Once {
+pub(crate) struct AtMostOnce {
     ctx: SharedCtx,
     dispatch: Dispatch,
     peers: PeerClient,
@@ -51,16 +51,16 @@
     at_ms: u64,
 }
 
-/// What decides which claim of a key is first.
+/// Where the claims of a key are ordered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Arbiter {
-    /// The platform's log.
+    /// On the platform's log.
     Log,
-    /// The memory of the one incarnation that may run the key.
+    /// In memory, at the one incarnation that may run the key.
     Memory,
 }
 
-impl Once {
+impl AtMostOnce {
     pub(crate) fn new(ctx: SharedCtx, dispatch: Dispatch) -> Self {
         let peers = dispatch.peers();
         let link = ClaimLink::new(ctx.clone(), peers.clone());
@@ -78,21 +78,21 @@
         service: &Service,
         mut forward: Forward,
     ) -> Result<Started, peer::Refusal> {
-        if !unrepeatable(service, &forward) {
+        if !is_non_idempotent(service, &forward) {
             return self.dispatch.route(forward).await;
         }
         if forward.idempotency_key.is_empty() {
-            // Nobody else can present a key minted here, so no other router can run it: the log
-            // has nothing to decide. The dispatcher never tries again after a byte left.
-            mint_key(&mut forward);
+            // No caller knows a key generated here, so no other router can run it and no claim is
+            // needed. The dispatcher never retries once a byte was sent.
+            generate_key(&mut forward);
             return self.dispatch.route(forward).await;
         }
         if let Some(run_key) = RunKey::parse(&forward.idempotency_key) {
-            let at_ms = uuid_ms(run_key.id).ok_or_else(not_a_uuid)?;
-            return self.by_run_key(&run_key, at_ms, forward.clone()).await;
+            let at_ms = uuid_ms(run_key.id).ok_or_else(invalid_key)?;
+            return self.route_run_key(&run_key, at_ms, forward.clone()).await;
         }
         let key = self.key(&forward)?;
-        self.usable(&key)?;
+        self.check_age(&key)?;
         let mut claim = slot::mint(
             &key.scoped,
             &self.ctx.host,
@@ -102,13 +102,13 @@
         match self.link.claim(&mut claim, key.at_ms).await {
             Ok(Verdict::Won) => self.won(&key, claim, forward).await,
             Ok(Verdict::Lost(standing)) => {
-                self.note_event(Kind::ClaimLost, &claim, &forward.request_id);
-                self.resent(&claim, standing)
+                self.emit_claim(Kind::ClaimLost, &claim, &forward.request_id);
+                self.answer_resend(&claim, standing)
             }
-            Err(LogDown) => Err(in_doubt(refuse::not_run(
+            Err(LogDown) => Err(run_state_unknown(refuse::not_run(
                 Cause::LogUnavailable,
                 LOG_DOWN_RETRY_MS,
-                "the platform's log can't be asked",
+                "the platform's log is unavailable",
             ))),
         }
     }
@@ -119,9 +119,9 @@
         claim: Claim,
         forward: Forward,
     ) -> Result<Started, peer::Refusal> {
-        self.note_event(Kind::ClaimWon, &claim, &forward.request_id);
-        // This router may have been paused since it read the log.
-        if let Err(refused) = self.usable(key) {
+        self.emit_claim(Kind::ClaimWon, &claim, &forward.request_id);
+        // This router may have been suspended since it read the log.
+        if let Err(refused) = self.check_age(key) {
             self.release(&claim, Arbiter::Log, &forward.request_id)
                 .await;
             return Err(refused);
@@ -129,47 +129,49 @@
         self.start(claim, Arbiter::Log, forward).await
     }
 
-    /// Only the incarnation that the key names may run it.
-    async fn by_run_key(
+    /// Routes a request with a run key to the incarnation named in it, the only one that may run it.
+    async fn route_run_key(
         &self,
         run_key: &RunKey<'_>,
         at_ms: u64,
         mut forward: Forward,
     ) -> Result<Started, peer::Refusal> {
-        let own = run_key.prefix == self.ctx.tokens.prefix();
+        let own = run_key.prefix == self.ctx.run_keys.prefix();
         if own {
             return self.run_own(at_ms, forward).await;
         }
         let fleet = self.ctx.fleet();
         let member = fleet.get(run_key.host);
         let Some(member) = member.filter(|m| m.host != self.ctx.host) else {
-            return self.of_gone_router(at_ms, &forward).await;
+            return self.outcome_from_log(at_ms, &forward).await;
         };
         forward.upstream = String::new();
         let mut rest = self.peers.forward(&member.peer_addr, &forward).await;
         match rest.recv().await {
-            // This try reached nobody, but an earlier one may have.
-            Some(Body::Refused(r)) if unreached(&r) || is_unknown(&r) => {
-                self.of_gone_router(at_ms, &forward).await
+            // This attempt reached no router, but an earlier one may have.
+            Some(Body::Refused(r)) if is_unreachable(&r) || is_outcome_unknown(&r) => {
+                self.outcome_from_log(at_ms, &forward).await
+            }
+            // Refused before the key was checked.
+            Some(Body::Refused(r)) if r.cause.parse() == Ok(Cause::Draining) => {
+                Err(run_state_unknown(r))
             }
-            // Refused before it looked at the key.
-            Some(Body::Refused(r)) if r.cause.parse() == Ok(Cause::Draining) => Err(in_doubt(r)),
             Some(first) => Ok(Started { first, rest }),
-            None => self.of_gone_router(at_ms, &forward).await,
+            None => self.outcome_from_log(at_ms, &forward).await,
         }
     }
 
-    /// What the router that a run key names left on the log: its answer, or nothing.
-    async fn of_gone_router(
+    /// Answers from the outcome that the router named in a run key stored on the log, if there is one.
+    async fn outcome_from_log(
         &self,
         at_ms: u64,
         forward: &Forward,
     ) -> Result<Started, peer::Refusal> {
-        key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
+        check_key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(forward);
         match self.ctx.claims.look(&claim.key, at_ms).await {
-            Ok(standing @ Standing::Done(..)) => self.resent(&claim, standing),
-            _ => Err(lost(
+            Ok(standing @ Standing::Done(..)) => self.answer_resend(&claim, standing),
+            _ => Err(outcome_unknown(
                 "the router that this key names is gone; nobody knows whether it ran",
             )),
         }
@@ -186,21 +188,23 @@
     }
 
     async fn run_own(&self, at_ms: u64, forward: Forward) -> Result<Started, peer::Refusal> {
-        key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
+        check_key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(&forward);
-        match self.ctx.tokens.claim(&claim) {
+        match self.ctx.run_keys.claim(&claim) {
             Verdict::Won => self.start(claim, Arbiter::Memory, forward).await,
-            Verdict::Lost(standing) => self.resent(&claim, standing),
+            Verdict::Lost(standing) => self.answer_resend(&claim, standing),
         }
     }
 
-    /// Runs a request under a run key that a peer passed on.
-    pub(crate) async fn relayed(&self, forward: Forward) -> Frames {
-        let (tx, rx) = mpsc::channel(CHANNEL);
+    /// Runs a request with a run key that a peer forwarded.
+    pub(crate) async fn serve_forwarded(&self, forward: Forward) -> Frames {
+        let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
         let run_key = RunKey::parse(&forward.idempotency_key);
-        let own = run_key.filter(|k| k.prefix == self.ctx.tokens.prefix());
+        let own = run_key.filter(|k| k.prefix == self.ctx.run_keys.prefix());
         let Some(at_ms) = own.and_then(|k| uuid_ms(k.id)) else {
-            return refuse::frames(lost("this router was replaced since it named this key"));
+            return refuse::frames(outcome_unknown(
+                "this router was replaced since it issued this run key",
+            ));
         };
         let mut started = match self.run_own(at_ms, forward).await {
             Ok(started) => started,
@@ -227,17 +231,19 @@
     ) -> Result<Started, peer::Refusal> {
         let (reply, started) = oneshot::channel();
         let this = self.clone();
-        // A planned stop waits for the run, also when its caller has gone.
+        // A planned stop waits for the run, even if its caller has disconnected.
         let in_flight = self.ctx.drain.begin();
         compio::runtime::spawn(async move {
             this.run(claim, arbiter, forward, reply).await;
             drop(in_flight);
         })
         .detach();
-        started.await.unwrap_or_else(|_| Err(lost("the run ended")))
+        started
+            .await
+            .unwrap_or_else(|_| Err(outcome_unknown("the run's task ended before it started")))
     }
 
-    /// Runs the claimed request to its end, whether or not the caller stays.
+    /// Runs the claimed request to completion, even if the caller disconnects.
     async fn run(
         &self,
         claim: Claim,
@@ -253,109 +259,118 @@
                     self.release(&claim, arbiter, &request_id).await;
                 } else {
                     let outcome = kept::unknown(&claim);
-                    self.keep(arbiter, claim, outcome).await;
+                    self.store_outcome(arbiter, claim, outcome).await;
                 }
                 let _ = reply.send(Err(refused));
                 return;
             }
         };
-        let (tx, rest) = mpsc::channel(CHANNEL);
-        let mut kept = kept::Kept::new(&started.first);
+        let (tx, rest) = mpsc::channel(CHANNEL_CAPACITY);
+        let mut kept = kept::Recorder::new(&started.first);
         let mut frames = started.rest;
         let first = started.first;
         let _ = reply.send(Ok(Started { first, rest }));
         while let Some(body) = frames.recv().await {
-            kept.take(&body);
-            // The caller may have gone: the run goes on, for its answer is to be kept.
+            kept.record(&body);
+            // Fails if the caller has disconnected; the run continues to store its answer.
             let _ = tx.send(body).await;
         }
         drop(tx);
         let outcome = kept.outcome(&claim);
-        self.keep(arbiter, claim, outcome).await;
+        self.store_outcome(arbiter, claim, outcome).await;
     }
 
-    /// Answers a request whose key another claim holds or held.
-    fn resent(&self, claim: &Claim, standing: Standing) -> Result<Started, peer::Refusal> {
+    /// Answers a request whose key was claimed earlier.
+    fn answer_resend(&self, claim: &Claim, standing: Standing) -> Result<Started, peer::Refusal> {
         match standing {
             Standing::Held(holder) | Standing::Done(holder, _)
                 if holder.fingerprint != claim.fingerprint =>
             {
-                let detail = "idempotency-key: was used for another request";
+                let detail = "idempotency-key: already used for a different request";
                 Err(refuse::not_run(Cause::BadRequest, 0, detail))
             }
             Standing::Done(_, outcome) if outcome.status > 0 => Ok(kept::answer(outcome)),
-            Standing::Done(..) => Err(lost("an earlier try of this key has no known outcome")),
-            Standing::Held(holder) => Err(self.held(&holder)),
-            // The holder's release came between: free again.
+            Standing::Done(..) => Err(outcome_unknown(
+                "the outcome of an earlier attempt with this key is unknown",
+            )),
+            Standing::Held(holder) => Err(self.still_running(&holder)),
+            // The holder released the claim in the meantime.
             Standing::Free => Err(refuse::not_run(
                 Cause::StillRunning,
                 STILL_RUNNING_RETRY_MS,
-                "an earlier try was not run; send again",
+                "an earlier attempt with this key was not run; send the request again",
             )),
         }
     }
 
-    /// The holder may be running, or may have died. The key's own time bounds how long it may run.
-    fn held(&self, holder: &Claim) -> peer::Refusal {
+    /// Returns the refusal for a key that another router claimed. Past the latest time at which the
+    /// holder's run can end, the holder is taken for dead.
+    fn still_running(&self, holder: &Claim) -> peer::Refusal {
         let begun_ms = uuid_ms(&holder.id).unwrap_or(0);
         let ends_ms = begun_ms + holder.run_ms + RUN_GRACE_MS + claims::CLOCK_MARGIN_MS;
         if wall_ms() > ends_ms {
-            return lost("the router that ran this key is gone");
+            return outcome_unknown("the router that ran this key is gone");
         }
         let refusal = Refusal {
             cause: Cause::StillRunning,
             run: RunState::Unknown,
             retry_after_ms: STILL_RUNNING_RETRY_MS,
         };
-        refuse::message(&refusal, format!("{} is running this key", holder.host))
+        refuse::message(
+            &refusal,
+            format!(
+                "router {} is running the request with this key",
+                holder.host
+            ),
+        )
     }
 
     fn key(&self, forward: &Forward) -> Result<Key, peer::Refusal> {
-        let at_ms = uuid_ms(&forward.idempotency_key).ok_or_else(not_a_uuid)?;
+        let at_ms = uuid_ms(&forward.idempotency_key).ok_or_else(invalid_key)?;
         Ok(Key {
             scoped: format!("{}/{}", forward.account, forward.idempotency_key),
             at_ms,
         })
     }
 
-    fn usable(&self, key: &Key) -> Result<(), peer::Refusal> {
+    fn check_age(&self, key: &Key) -> Result<(), peer::Refusal> {
         let platform = self.ctx.settings.platform.clone().unwrap_or_default();
-        key_age(claims::age(key.at_ms, wall_ms(), platform.retention_ms))
+        check_key_age(claims::age(key.at_ms, wall_ms(), platform.retention_ms))
     }
 
     async fn release(&self, claim: &Claim, arbiter: Arbiter, request_id: &str) {
-        self.note_event(Kind::ClaimReleased, claim, request_id);
+        self.emit_claim(Kind::ClaimReleased, claim, request_id);
         let release = Release {
             id: claim.id.clone(),
             key: claim.key.clone(),
         };
         if arbiter == Arbiter::Memory {
-            self.ctx.tokens.note(Record::Release(release));
+            self.ctx.run_keys.record(Record::Release(release));
             return;
         }
         let note = ClaimNote {
             release: Some(release),
             ..ClaimNote::default()
         };
-        self.link.note(&claim.key, note).await;
+        self.link.append_note(&claim.key, note).await;
     }
 
-    /// Keeps an outcome. That of a run key goes to the log too, for when this router is gone; its
-    /// claim goes before it, though this router's memory has decided.
-    async fn keep(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
+    /// Stores an outcome. A run key's outcome is kept in memory and also goes to the log, preceded by
+    /// its claim, so that other routers can answer once this one is gone.
+    async fn store_outcome(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
         let key = claim.key.clone();
         let mut note = ClaimNote {
             outcome: Some(outcome.clone()),
             ..ClaimNote::default()
         };
         if arbiter == Arbiter::Memory {
-            self.ctx.tokens.note(Record::Outcome(outcome));
+            self.ctx.run_keys.record(Record::Outcome(outcome));
             note.claim = Some(claim);
         }
-        self.link.note(&key, note).await;
+        self.link.append_note(&key, note).await;
     }
 
-    fn note_event(&self, kind: Kind, claim: &Claim, request_id: &str) {
+    fn emit_claim(&self, kind: Kind, claim: &Claim, request_id: &str) {
         self.ctx.events.emit(kind, |e| {
             request_id.clone_into(&mut e.request_id);
             e.detail.clone_from(&claim.key);
