--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -1,5 +1,5 @@
-//! Where the router that a caller reached sends a request: its memory of chats, its view of loads,
-//! and the upstreams that it keeps work from.
+//! Placement at the router that received the request: locations of chats, the view of loads, and
+//! ejected upstreams.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -26,28 +26,30 @@
 use crate::serve::home::loads::{SharedLoads, pool_slots};
 use crate::util::Name;
 
-/// Chats remembered: several times a router's part of the largest fleet's, in a few megabytes.
-const MEMORY_CHATS: u64 = 100_000;
-/// Longer than two hosts of a region need, shorter than the prefill of a short history.
-const ASK_TIMEOUT: Duration = Duration::from_millis(50);
+/// Chat locations kept: several times one router's share of the largest fleet's chats, in a few
+/// megabytes.
+const MAX_CHATS: u64 = 100_000;
+/// Longer than a round trip between two hosts of a region, shorter than the prefill of a short
+/// history.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Where a chat was served last.
+/// Where a chat was served last, and its tokens in that upstream's cache.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct ChatLocation {
     pub(crate) upstream: Name,
     pub(crate) tokens: u32,
 }
 
-/// The upstreams to try, by name.
+/// The upstreams to try, in order, and the one to fall back on.
 #[derive(Debug, Default)]
 pub(crate) struct Plan {
     pub(crate) tries: Vec<Name>,
     pub(crate) last: Option<Name>,
-    /// Where the chat's cache lies.
-    pub(crate) warm: Option<Place>,
+    /// Where the chat's cache is.
+    pub(crate) warm: Option<ChatLocation>,
 }
 
-/// Decides where requests go.
+/// Chooses the upstreams for requests.
 #[derive(Clone)]
 pub(crate) struct Placer {
     ctx: SharedCtx,
@@ -57,7 +59,7 @@
 }
 
 struct State {
-    memory: Warm<Place>,
+    chats: Warm<ChatLocation>,
     pools: HashMap<Name, Rc<PoolState>>,
     config: Option<Arc<ConfigView>>,
     joined_ms: HashMap<Name, u64>,
@@ -74,7 +76,7 @@
 impl Placer {
     pub(crate) fn new(ctx: SharedCtx, peers: PeerClient, loads: SharedLoads) -> Self {
         let state = State {
-            memory: Warm::new(MEMORY_CHATS),
+            chats: Warm::new(MAX_CHATS),
             pools: HashMap::new(),
             config: None,
             joined_ms: HashMap::new(),
@@ -90,11 +92,11 @@
         }
     }
 
-    /// Where to try `forward`, leaving out the upstreams that `failed`.
+    /// Plans the upstreams to try for `forward`, except those in `failed`.
     pub(crate) async fn plan(&self, forward: &Forward, failed: &[Name]) -> Plan {
         let pool = self.pool(&forward.service);
-        let warm = self.warm(forward, &pool).await;
-        let load_ms = self.shown_loads(&pool, failed);
+        let warm = self.locate_chat(forward, &pool).await;
+        let load_ms = self.effective_loads(&pool, failed);
         let warm_at = warm.as_ref().and_then(|w| pool.index.position(&w.upstream));
         let policy = self.policy(&forward.service);
         let mut placement = PlacementPolicy::default();
@@ -112,7 +114,8 @@
         }
     }
 
-    /// The upstream where `chat` was served last, as far as its anchor remembers.
+    /// Returns the upstream where `chat` was served last, if this router or the chat's entry router has
+    /// a record of it.
     pub(crate) async fn last_served(&self, service: &str, chat: ChatKey) -> Option<Name> {
         let pool = self.pool(service);
         let forward = Forward {
@@ -121,10 +124,10 @@
             prompt_tokens: 1,
             ..Forward::default()
         };
-        Some(self.warm(&forward, &pool).await?.upstream)
+        Some(self.locate_chat(&forward, &pool).await?.upstream)
     }
 
-    /// `upstream` gave a first frame after `took_ms`.
+    /// Records that `upstream` sent a first frame after `took_ms`.
     pub(crate) fn answered(&self, forward: &Forward, upstream: &Name, took_ms: u64) {
         let (pool, share) = (self.pool(&forward.service), self.eject_share(forward));
         let now_ms = self.ctx.clock.now_ms();
@@ -133,10 +136,10 @@
             let ejector = &mut self.state.borrow_mut().ejector;
             ejector.answered(upstream, took_ms, names, share, now_ms)
         };
-        self.tell(change, upstream);
+        self.emit_change(change, upstream);
     }
 
-    /// `upstream` failed before its first frame.
+    /// Records that `upstream` failed before its first frame.
     pub(crate) fn failed(&self, forward: &Forward, upstream: &Name) {
         let (pool, share) = (self.pool(&forward.service), self.eject_share(forward));
         let now_ms = self.ctx.clock.now_ms();
@@ -145,10 +148,10 @@
             let ejector = &mut self.state.borrow_mut().ejector;
             ejector.failed(upstream, names, share, now_ms)
         };
-        self.tell(change, upstream);
+        self.emit_change(change, upstream);
     }
 
-    /// Counts a request's first try.
+    /// Counts a request's first attempt towards the retry budget.
     pub(crate) fn first_try(&self, service: &str) {
         let share = self.policy(service).map(|p| p.retry_share);
         let share = share.filter(|s| *s > 0.0).unwrap_or(retry::DEFAULT_SHARE);
@@ -157,93 +160,97 @@
         budget.first_try();
     }
 
-    /// How long to wait before another try, or `None` if there must be none.
+    /// Returns how long to wait before a retry, or `None` if the request must not be retried.
     pub(crate) fn pause_ms(&self, failed: Failed) -> Option<u64> {
         let state = &mut *self.state.borrow_mut();
         state.budget.pause_ms(failed, &mut state.rng)
     }
 
-    /// Remembers that `upstream` serves the chat, and tells the router that callers are sent to.
-    pub(crate) fn served(&self, forward: &Forward, upstream: &Name) {
+    /// Records that `upstream` serves the chat, here and at the chat's entry router.
+    pub(crate) fn record_served(&self, forward: &Forward, upstream: &Name) {
         let tokens = forward.prompt_tokens.saturating_add(forward.output_tokens);
-        let place = Place {
+        let location = ChatLocation {
             upstream: upstream.clone(),
             tokens,
         };
         let chat = ChatKey(forward.chat_key);
-        if self.remember(chat, place) {
+        if self.remember(chat, location) {
             return;
         }
-        let pool = self.pool_of(&forward.service);
-        let Some(addr) = pool.and_then(|pool| self.anchor(forward, &pool)) else {
+        let pool = self.nonempty_pool(&forward.service);
+        let Some(addr) = pool.and_then(|pool| self.entry_router(forward, &pool)) else {
             return;
         };
-        let note = WarmAsk {
+        let update = WarmAsk {
             chat_key: forward.chat_key,
             upstream: upstream.to_string(),
             tokens,
         };
         let peers = self.peers.clone();
         compio::runtime::spawn(async move {
-            if let Err(e) = peers.ask::<_, WarmGive>(&addr, WARM, &note).await {
-                log::debug!("{addr} wasn't told of a chat: {e}");
+            if let Err(e) = peers.ask::<_, WarmGive>(&addr, WARM, &update).await {
+                log::debug!("sending a chat's location to {addr} failed: {e}");
             }
         })
         .detach();
     }
 
-    /// Remembers where a chat is; tells whether it was there before.
-    fn remember(&self, chat: ChatKey, place: Place) -> bool {
-        let memory = &mut self.state.borrow_mut().memory;
-        let known = memory.get(chat).map(|p| p.upstream.clone());
-        let same = known.as_ref() == Some(&place.upstream);
-        memory.put(chat, place, 1);
+    /// Records a chat's location; returns whether it was there before.
+    fn remember(&self, chat: ChatKey, location: ChatLocation) -> bool {
+        let chats = &mut self.state.borrow_mut().chats;
+        let before = chats.get(chat).map(|l| l.upstream.clone());
+        let same = before.as_ref() == Some(&location.upstream);
+        chats.put(chat, location, 1);
         same
     }
 
-    /// Answers another router that asks or tells where a chat was served last.
-    pub(crate) fn answer(&self, ask: WarmAsk) -> WarmGive {
-        let memory = &mut self.state.borrow_mut().memory;
+    /// Handles another router's lookup or, if `ask` names an upstream, update of a chat's location.
+    pub(crate) fn handle_warm(&self, ask: WarmAsk) -> WarmGive {
+        let chats = &mut self.state.borrow_mut().chats;
         let chat = ChatKey(ask.chat_key);
         if !ask.upstream.is_empty() {
-            let place = Place {
+            let location = ChatLocation {
                 upstream: ask.upstream.into(),
                 tokens: ask.tokens,
             };
-            memory.put(chat, place, 1);
+            chats.put(chat, location, 1);
             return WarmGive::default();
         }
-        let known = memory.get(chat);
-        known.map_or_else(WarmGive::default, |place| WarmGive {
-            upstream: place.upstream.to_string(),
-            tokens: place.tokens,
+        let location = chats.get(chat);
+        location.map_or_else(WarmGive::default, |l| WarmGive {
+            upstream: l.upstream.to_string(),
+            tokens: l.tokens,
         })
     }
 
-    /// From this router's memory, else from the router that the chat's callers are sent to.
-    async fn warm(&self, forward: &Forward, pool: &PoolState) -> Option<Place> {
+    /// Returns the chat's location from this router's records, or from the chat's entry router.
+    async fn locate_chat(&self, forward: &Forward, pool: &PoolState) -> Option<ChatLocation> {
         if forward.prompt_tokens == 0 {
             return None;
         }
         let chat = ChatKey(forward.chat_key);
-        if let Some(place) = self.state.borrow().memory.get(chat) {
-            return Some(place.clone());
+        if let Some(location) = self.state.borrow().chats.get(chat) {
+            return Some(location.clone());
         }
-        let addr = self.anchor(forward, pool)?;
+        let addr = self.entry_router(forward, pool)?;
         let ask = WarmAsk {
             chat_key: forward.chat_key,
             ..WarmAsk::default()
         };
-        let asked = self.peers.ask::<_, WarmGive>(&addr, WARM, &ask);
-        let given = compio::time::timeout(ASK_TIMEOUT, asked).await.ok()?.ok()?;
-        (!given.upstream.is_empty()).then(|| Place {
-            upstream: given.upstream.into(),
-            tokens: given.tokens,
+        let lookup = self.peers.ask::<_, WarmGive>(&addr, WARM, &ask);
+        let found = compio::time::timeout(LOOKUP_TIMEOUT, lookup)
+            .await
+            .ok()?
+            .ok()?;
+        (!found.upstream.is_empty()).then(|| ChatLocation {
+            upstream: found.upstream.into(),
+            tokens: found.tokens,
         })
     }
 
-    /// The other router that the chat's callers are sent to: the home of its first upstream.
-    fn anchor(&self, forward: &Forward, pool: &PoolState) -> Option<Name> {
+    /// Returns the address of the router that the chat's callers are directed to, the home of its first
+    /// upstream, if it is not this router.
+    fn entry_router(&self, forward: &Forward, pool: &PoolState) -> Option<Name> {
         let first = pool.index.first(ChatKey(forward.chat_key), 1);
         let name = &pool.index.names()[*first.first()?];
         let config = self.ctx.config();
@@ -253,19 +260,19 @@
         (home.host != self.ctx.host).then(|| home.peer_addr.clone())
     }
 
-    /// The load at which each upstream is shown to placement.
-    fn shown_loads(&self, pool: &PoolState, failed: &[Name]) -> Vec<f64> {
+    /// Returns the load of each upstream as used for placement; infinite to exclude it.
+    fn effective_loads(&self, pool: &PoolState, failed: &[Name]) -> Vec<f64> {
         let now_ms = self.ctx.clock.now_ms();
         let fleet = self.ctx.fleet();
-        let is_barred =
+        let is_excluded =
             |slots: &Slots| failed.contains(&slots.name) || fleet.is_leaving(&slots.name);
         let mean_ms = self.loads.pool_view(&pool.slots, None).mean_work_ms;
         let state = &mut *self.state.borrow_mut();
-        let shown = |slots: &Slots| {
-            if is_barred(slots) || state.ejector.is_out(&slots.name, now_ms) {
+        let effective = |slots: &Slots| {
+            if is_excluded(slots) || state.ejector.is_out(&slots.name, now_ms) {
                 return f64::INFINITY;
             }
-            // Unknown isn't idle.
+            // An unknown load is taken as the mean, not as idle.
             let Some(seen) = self.loads.get(&slots.name) else {
                 return mean_ms;
             };
@@ -274,27 +281,27 @@
             let work_ms = placement::joined_load_ms(seen.work_ms, mean_ms, age_ms);
             placement::shown_load_ms(work_ms, slots.free(seen))
         };
-        let load_ms: Vec<f64> = pool.slots.iter().map(shown).collect();
+        let load_ms: Vec<f64> = pool.slots.iter().map(effective).collect();
         if load_ms.iter().any(|ms| ms.is_finite()) {
             return load_ms;
         }
-        // All that stay are ejected: trying is better than refusing for what was true a moment ago.
-        let untried = |slots: &Slots| {
-            if is_barred(slots) {
+        // All remaining upstreams are ejected: trying them is better than refusing on old failures.
+        let unejected = |slots: &Slots| {
+            if is_excluded(slots) {
                 return f64::INFINITY;
             }
             mean_ms
         };
-        pool.slots.iter().map(untried).collect()
+        pool.slots.iter().map(unejected).collect()
     }
 
-    /// Claims the probe of an ejected upstream; `false` means that it is to be left out.
+    /// Whether the upstream may be tried; claims the probe of an ejected upstream.
     pub(crate) fn admits(&self, upstream: &str) -> bool {
         let now_ms = self.ctx.clock.now_ms();
         self.state.borrow_mut().ejector.admits(upstream, now_ms)
     }
 
-    fn pool_of(&self, service: &str) -> Option<Rc<PoolState>> {
+    fn nonempty_pool(&self, service: &str) -> Option<Rc<PoolState>> {
         let pool = self.pool(service);
         (!pool.slots.is_empty()).then_some(pool)
     }
@@ -329,7 +336,7 @@
             .unwrap_or(ejection::DEFAULT_SHARE)
     }
 
-    fn tell(&self, change: Change, upstream: &Name) {
+    fn emit_change(&self, change: Change, upstream: &Name) {
         let kind = match change {
             Change::None => return,
             Change::Ejected => Kind::UpstreamEjected,
@@ -345,26 +352,26 @@
 }
 
 impl State {
-    /// Takes a new configuration: notes when upstreams joined, forgets those that went.
+    /// Applies a new configuration: records when upstreams joined and drops removed ones.
     fn reconfigure(&mut self, config: Arc<ConfigView>, now_ms: u64) {
-        let known =
+        let contains =
             |view: &ConfigView, name: &str| view.state.upstreams.iter().any(|u| u.name == name);
         if let Some(before) = &self.config {
             for upstream in &config.state.upstreams {
-                if !known(before, &upstream.name) {
+                if !contains(before, &upstream.name) {
                     let name = Name::from(upstream.name.as_str());
                     self.joined_ms.insert(name, now_ms);
                 }
             }
         }
-        self.joined_ms.retain(|name, _| known(&config, name));
-        self.ejector.retain(|name| known(&config, name));
+        self.joined_ms.retain(|name, _| contains(&config, name));
+        self.ejector.retain(|name| contains(&config, name));
         self.pools.clear();
         self.config = Some(config);
     }
 }
 
-/// Whether the chat's cache should be moved from `warm` before it runs elsewhere.
-pub(crate) fn import_pays(warm: &Place) -> bool {
+/// Whether transferring the chat's cache from `warm` costs less than a prefill elsewhere.
+pub(crate) fn import_pays(warm: &ChatLocation) -> bool {
     placement::import_pays(warm.tokens, &Rates::default())
 }
--- a/src/serve/route/resume.rs
+++ b/src/serve/route/resume.rs
@@ -1,8 +1,8 @@
-//! Keeps a chat's answer whole when an engine or a home is lost midway.
+//! Resumes a chat's answer when its engine or home fails during the answer.
 //!
-//! The caller would see a cut stream. Here the answer goes on: at the same engine by offset, while
-//! that still has the stream, else at another one from the text already delivered as a forced
-//! prefix. Chunks are counted at the router the caller reached, so none is lost or sent twice.
+//! The answer continues at the same engine by offset if that still has the stream, otherwise at
+//! another engine with the text already delivered as a forced prefix. The router that received the
+//! request counts the chunks, so none is lost or sent twice.
 
 use std::time::Duration;
 
@@ -22,19 +22,19 @@
 use crate::serve::home::suspects;
 use crate::serve::route::dispatch::{Dispatch, Started};
 
-const CHANNEL: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 
-/// How often one answer may be picked up again. A request that kills its engines is stopped by the
-/// quarantine long before; this bounds the work for one that meets a broken network and
-/// engines that cross some of their answers.
-const RESUMES: u32 = 4;
+/// How often one answer may be resumed. The quarantine stops a request that crashes its engines long
+/// before; this bounds the work for one that meets a faulty network or engines that answer with
+/// another request's id.
+const MAX_RESUMES: u32 = 4;
 
-/// Spreads the pick-ups of all the streams that one engine's death cuts at once.
+/// Spreads the resumptions of all streams that one engine's failure interrupts at once.
 const BACKOFF_MS: u64 = 100;
 
-/// Routes a repeatable request, and again when it fails before its first chunk: nothing was
-/// delivered, so that another run can't be spliced with the first.
-pub(crate) async fn answer(
+/// Routes an idempotent request, and retries it if it fails before its first chunk: nothing was
+/// delivered, so two runs cannot be joined in one answer.
+pub(crate) async fn route(
     ctx: &SharedCtx,
     dispatch: &Dispatch,
     mut forward: Forward,
@@ -49,52 +49,52 @@
                 first: Body::Refused(refused),
                 ..
             }) => refused,
-            Ok(started) => return Ok(whole(ctx, dispatch, forward, started)),
+            Ok(started) => return Ok(resumable(ctx, dispatch, forward, started)),
             Err(refused) => refused,
         };
         let spent_ms = ctx.clock.now_ms() - start_ms;
         tries += 1;
         forward.deaths = refused.deaths;
-        // A refusal that says "not run" was already tried everywhere.
-        let hopeless = refuse::surely_not_run(&refused) || suspects::convicted(&refused);
+        // The dispatcher has already tried all upstreams if the request was not run.
+        let is_final = refuse::surely_not_run(&refused) || suspects::is_quarantined(&refused);
         may_have_run |= !refuse::surely_not_run(&refused);
-        if hopeless || tries > RESUMES || spent_ms >= budget_ms {
-            return Err(told(refused, may_have_run));
+        if is_final || tries > MAX_RESUMES || spent_ms >= budget_ms {
+            return Err(final_refusal(refused, may_have_run));
         }
-        pause(tries - 1).await;
+        backoff(tries - 1).await;
         forward.attempt += 1;
         forward.remaining_ms = budget_ms - spent_ms;
-        retried(ctx, &forward, &refused.detail);
+        emit_retried(ctx, &forward, &refused.detail);
     }
 }
 
-/// The last try's refusal, as true of all tries: that the last one wasn't run says nothing of one
-/// before it that broke off, and a caller told "not run" would count on it.
-fn told(mut refused: Refusal, may_have_run: bool) -> Refusal {
+/// Returns the last attempt's refusal with a run state that holds for all attempts. If an earlier one
+/// may have run, the caller must not receive "not run" only because the last one was not.
+fn final_refusal(mut refused: Refusal, may_have_run: bool) -> Refusal {
     if may_have_run && refuse::surely_not_run(&refused) {
         refused.run_state = RunState::Unknown.to_string();
     }
     refused
 }
 
-/// Waits with full jitter over a bound that doubles.
-async fn pause(tries: u32) {
-    let pause_ms = rand::rng().random_range(0..BACKOFF_MS << tries.min(RESUMES));
+/// Waits with exponential backoff and full jitter.
+async fn backoff(tries: u32) {
+    let pause_ms = rand::rng().random_range(0..BACKOFF_MS << tries.min(MAX_RESUMES));
     compio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-fn retried(ctx: &SharedCtx, forward: &Forward, detail: &str) {
+fn emit_retried(ctx: &SharedCtx, forward: &Forward, detail: &str) {
     ctx.events.emit_request(Kind::RequestRetried, forward, |e| {
         detail.clone_into(&mut e.detail);
     });
 }
 
-/// The answer that `started` began, picked up again when it breaks off.
-fn whole(ctx: &SharedCtx, dispatch: &Dispatch, forward: Forward, started: Started) -> Started {
+/// Wraps an answer that has started, so that it is resumed if it is interrupted.
+fn resumable(ctx: &SharedCtx, dispatch: &Dispatch, forward: Forward, started: Started) -> Started {
     let Body::Head(head) = &started.first else {
         return started;
     };
-    let (tx, rest) = mpsc::channel(CHANNEL);
+    let (tx, rest) = mpsc::channel(CHANNEL_CAPACITY);
     let task = Resume {
         ctx: ctx.clone(),
         dispatch: dispatch.clone(),
@@ -103,7 +103,7 @@
         upstream: head.upstream.clone(),
         home: head.home.clone(),
         chunks: Vec::new(),
-        convicted: None,
+        quarantined: None,
         tx,
     };
     compio::runtime::spawn(task.run(started.rest)).detach();
@@ -121,46 +121,46 @@
     upstream: String,
     home: String,
     chunks: Vec<Vec<u8>>,
-    /// The refusal that held the request to have killed its upstreams.
-    convicted: Option<Refusal>,
+    /// The refusal that quarantined the request.
+    quarantined: Option<Refusal>,
     tx: mpsc::Sender<Body>,
 }
 
 /// How one part of an answer ended.
-enum Part {
-    Whole,
-    CallerGone,
-    Broken(Option<Refusal>),
+enum PartEnd {
+    Complete,
+    CallerDisconnected,
+    Interrupted(Option<Refusal>),
 }
 
 impl Resume {
     async fn run(mut self, mut frames: Frames) {
         let mut resumes = 0;
         loop {
-            let refused = match self.pass_part(frames).await {
-                Part::Whole => {
+            let refused = match self.relay_part(frames).await {
+                PartEnd::Complete => {
                     let chunks = self.chunks.len() as u64;
-                    // The caller may have gone.
+                    // Fails only if the caller has disconnected.
                     let _ = self.tx.send(Body::End(End { chunks })).await;
                     return;
                 }
-                Part::CallerGone => return,
-                Part::Broken(refused) => refused,
+                PartEnd::CallerDisconnected => return,
+                PartEnd::Interrupted(refused) => refused,
             };
             if let Some(refused) = &refused {
-                self.judge(refused);
+                self.record_deaths(refused);
             }
             let mut next = None;
-            // A pick-up can meet the next failure before its own first chunk: two connections
-            // reset in a row, say. It counts, but doesn't end the answer.
-            while next.is_none() && resumes < RESUMES && self.convicted.is_none() {
+            // A resumption can fail before its own first chunk, for example when two connections are
+            // reset in a row. It counts, but does not end the answer.
+            while next.is_none() && resumes < MAX_RESUMES && self.quarantined.is_none() {
                 resumes += 1;
-                next = self.pick_up(resumes).await;
+                next = self.resume(resumes).await;
             }
             match next {
                 Some(rest) => frames = rest,
                 None => {
-                    if let Some(refused) = self.convicted.take().or(refused) {
+                    if let Some(refused) = self.quarantined.take().or(refused) {
                         let _ = self.tx.send(Body::Refused(refused)).await;
                     }
                     return;
@@ -169,37 +169,37 @@
         }
     }
 
-    /// Counts the upstreams that died of the request; a convicted one isn't sent on.
-    fn judge(&mut self, refused: &Refusal) {
+    /// Records the deaths counted against the request, and whether it is quarantined.
+    fn record_deaths(&mut self, refused: &Refusal) {
         self.forward.deaths = refused.deaths;
-        if suspects::convicted(refused) {
-            self.convicted = Some(refused.clone());
+        if suspects::is_quarantined(refused) {
+            self.quarantined = Some(refused.clone());
         }
     }
 
-    /// Passes chunks on until the part ends.
-    async fn pass_part(&mut self, mut frames: Frames) -> Part {
+    /// Relays chunks until the part ends.
+    async fn relay_part(&mut self, mut frames: Frames) -> PartEnd {
         while let Some(body) = self.next(&mut frames).await {
             match body {
                 Body::Chunk(data) => {
                     self.chunks.push(data.clone());
                     if self.tx.send(Body::Chunk(data)).await.is_err() {
-                        return Part::CallerGone;
+                        return PartEnd::CallerDisconnected;
                     }
                 }
-                Body::End(_) => return Part::Whole,
-                Body::Refused(refused) => return Part::Broken(Some(refused)),
+                Body::End(_) => return PartEnd::Complete,
+                Body::Refused(refused) => return PartEnd::Interrupted(Some(refused)),
                 Body::Head(_) => {}
             }
         }
         if self.tx.is_closed() {
-            return Part::CallerGone;
+            return PartEnd::CallerDisconnected;
         }
-        Part::Broken(None)
+        PartEnd::Interrupted(None)
     }
 
-    /// The next frame, or nothing once the caller went or the home was given up: a home that is
-    /// frozen keeps its connections, and would be waited for until the caller's deadline.
+    /// Returns the next frame, or `None` once the caller has disconnected or the home is dead. A frozen
+    /// home keeps its connections open, so the caller would otherwise wait until its deadline.
     async fn next(&self, frames: &mut Frames) -> Option<Body> {
         let next = next_wanted(frames, &self.tx);
         let dead = self.ctx.host_dead(&self.home);
@@ -210,9 +210,9 @@
         }
     }
 
-    /// Routes the request again, from what was delivered.
-    async fn pick_up(&mut self, resumes: u32) -> Option<Frames> {
-        pause(resumes - 1).await;
+    /// Routes the request again, to continue after the delivered chunks.
+    async fn resume(&mut self, resumes: u32) -> Option<Frames> {
+        backoff(resumes - 1).await;
         let mut forward = self.forward.clone();
         let spent_ms = self.ctx.clock.now_ms() - self.started_ms;
         forward.remaining_ms = forward.remaining_ms.checked_sub(spent_ms)?;
@@ -221,12 +221,12 @@
         forward.delivered_chunks = u32::try_from(self.chunks.len()).ok()?;
         forward.delivered_text = delivered_text(&self.chunks);
         self.forward.attempt += 1;
-        let detail = format!("broke off after {} chunks", self.chunks.len());
-        retried(&self.ctx, &forward, &detail);
+        let detail = format!("interrupted after {} chunks", self.chunks.len());
+        emit_retried(&self.ctx, &forward, &detail);
         let (first, rest) = match self.dispatch.route(forward).await {
             Ok(started) => (started.first, started.rest),
             Err(refused) => {
-                self.judge(&refused);
+                self.record_deaths(&refused);
                 return None;
             }
         };
@@ -236,7 +236,7 @@
                 (head.upstream, head.status)
             }
             Body::Refused(refused) => {
-                self.judge(&refused);
+                self.record_deaths(&refused);
                 return None;
             }
             _ => return None,
--- a/src/serve/route/tokens.rs
+++ b/src/serve/route/tokens.rs
@@ -1,9 +1,9 @@
-//! Run keys: idempotency keys that one incarnation of one router honours, with no log on the path.
+//! Run keys: idempotency keys that only one incarnation of one router runs, without using the log.
 //!
-//! An entry answer names a prefix; a caller adds a UUID of version 7 for each request. Only the
-//! incarnation that the prefix names will run such a key, and it remembers what it ran, so the
-//! counter goes on through an outage of the log. Other routers pass the request on to it. Once it
-//! is gone nobody knows what it ran, and the key is refused as "unknown", never run elsewhere.
+//! An entry answer contains a prefix, to which a caller adds a UUID of version 7 for each request.
+//! Only the incarnation named in the prefix runs such a key. It keeps its claims in memory, so run
+//! keys work during an outage of the log. Other routers forward the request to it. Once it is gone,
+//! what it ran is unknown: the key is refused with an unknown outcome and never run elsewhere.
 
 use std::cell::RefCell;
 
@@ -14,31 +14,31 @@
 use crate::schema::records::{Claim, ClaimRecord};
 use crate::util::Clock;
 
-const MARK: &str = "run.";
-/// How long a run key may be used, and about how long its answer is kept.
-pub(crate) const TOKEN_MS: u64 = 600_000;
+const PREFIX: &str = "run.";
+/// How long a run key may be used, and about how long its answer is stored.
+pub(crate) const RUN_KEY_TTL_MS: u64 = 600_000;
 
-/// What one incarnation of this router ran under its run keys.
-pub(crate) struct Tokens {
+/// The claims that this incarnation of the router holds for its run keys.
+pub(crate) struct RunKeys {
     prefix: String,
     clock: Clock,
     claims: RefCell<Claims>,
 }
 
-/// A run key in its parts.
+/// A parsed run key.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) struct RunKey<'a> {
     /// The router's host and incarnation.
     pub(crate) prefix: &'a str,
     pub(crate) host: &'a str,
-    /// What the caller added.
+    /// The caller's UUID.
     pub(crate) id: &'a str,
 }
 
 impl<'a> RunKey<'a> {
-    /// The parts of `key`, if it is a run key.
+    /// Parses `key` if it is a run key.
     pub(crate) fn parse(key: &'a str) -> Option<Self> {
-        let rest = key.strip_prefix(MARK)?;
+        let rest = key.strip_prefix(PREFIX)?;
         let (prefix, id) = key.rsplit_once('.')?;
         let (rest, _) = rest.rsplit_once('.')?;
         let (host, _incarnation) = rest.rsplit_once('.')?;
@@ -46,40 +46,40 @@
     }
 }
 
-impl Tokens {
-    /// A new incarnation of `host`: it honours no key of an earlier one.
+impl RunKeys {
+    /// Creates the run keys of a new incarnation of `host`, which accepts no key of an earlier one.
     pub(crate) fn new(host: &str, clock: Clock) -> Self {
         Self {
-            prefix: format!("{MARK}{host}.{}", Uuid::now_v7().simple()),
+            prefix: format!("{PREFIX}{host}.{}", Uuid::now_v7().simple()),
             clock,
             claims: RefCell::default(),
         }
     }
 
-    /// What a caller puts before a point and a UUID.
+    /// The prefix that a caller puts before a dot and a UUID.
     pub(crate) fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// Claims a run key of this incarnation; its own order of claims decides.
+    /// Claims a run key of this incarnation; the first claim wins.
     pub(crate) fn claim(&self, claim: &Claim) -> Verdict {
         let now_ms = self.clock.now_ms();
         let mut claims = self.claims.borrow_mut();
-        // By then the key is too old to be used, whichever way the wall clock was set.
-        let kept_ms = TOKEN_MS + 4 * CLOCK_MARGIN_MS;
-        claims.forget(now_ms.saturating_sub(kept_ms));
-        claims.apply(record(Body::Claim(claim.clone())), now_ms);
+        // After this time the key is too old to be used, even if the wall clock was adjusted.
+        let retention_ms = RUN_KEY_TTL_MS + 4 * CLOCK_MARGIN_MS;
+        claims.forget(now_ms.saturating_sub(retention_ms));
+        claims.apply(claim_record(Body::Claim(claim.clone())), now_ms);
         let verdict = claims.verdict(claim);
         verdict.unwrap_or(Verdict::Lost(Standing::Free))
     }
 
-    pub(crate) fn note(&self, body: Body) {
+    pub(crate) fn record(&self, body: Body) {
         let now_ms = self.clock.now_ms();
-        self.claims.borrow_mut().apply(record(body), now_ms);
+        self.claims.borrow_mut().apply(claim_record(body), now_ms);
     }
 }
 
-fn record(body: Body) -> ClaimRecord {
+fn claim_record(body: Body) -> ClaimRecord {
     ClaimRecord {
         body: Some(body),
         ..ClaimRecord::default()
--- a/src/serve/route/tokens_tests.rs
+++ b/src/serve/route/tokens_tests.rs
@@ -1,8 +1,8 @@
 use crate::serve::route::tokens::RunKey;
 
-/// Host names hold points, so a key is read from its end.
+/// Host names contain dots, so the key is split from its end.
 #[test]
-fn run_key_is_parsed_from_its_end() {
+fn run_key_with_a_dotted_host_name_is_parsed() {
     let key = "run.a1.north.example.0190abcd.01a2-7";
     let parsed = RunKey::parse(key).unwrap();
     assert_eq!(parsed.host, "a1.north.example");
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: the others and the callers are led away first, then what is in flight ends.
+//! Planned stop: peers and callers are moved to other routers first, then requests in flight finish.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
 use crate::serve::Ctx;
 use crate::stats;
 
-/// Waits at most this long for the others to be told.
-const GOODBYE: Duration = Duration::from_millis(500);
-/// When a refused caller should come back, to another router: by now its list is old.
+/// Timeout for notifying peers that this router has finished.
+const GOODBYE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Retry delay for refused callers. Their entry addresses have expired by then, so they retry at
+/// another router.
 const RETRY_AFTER_MS: u64 = 100;
 
-/// Refuses work that comes too late.
+/// Refuses new work once the router is in the refusing phase.
 pub(crate) fn admit(drain: &Drain) -> Result<(), peer::Refusal> {
     if drain.phase() == Phase::Refusing {
         stats::home_refused("stopping");
-        let detail = "this router is stopping: ask for new entry addresses";
+        let detail = "this router is stopping: request new entry addresses";
         return Err(refuse::not_run(Cause::Draining, RETRY_AFTER_MS, detail));
     }
     Ok(())
 }
 
-/// Stops by plan; returns when the process may end.
+/// Runs a planned stop; returns when the process may exit.
 pub(crate) async fn run(ctx: &Ctx) {
     let fleet = ctx.settings.fleet.clone().unwrap_or_default();
     enter(ctx, Phase::Leaving);
     ctx.gossip.note(Note::Leave);
-    let news_ms = news_ms(fleet.probe_interval_ms, ctx.fleet().members.len());
-    let old_ms = news_ms + u64::from(fleet.entry_ttl_ms);
-    compio::time::sleep(Duration::from_millis(old_ms)).await;
+    let gossip_ms = propagation_ms(fleet.probe_interval_ms, ctx.fleet().members.len());
+    let expiry_ms = gossip_ms + u64::from(fleet.entry_ttl_ms);
+    compio::time::sleep(Duration::from_millis(expiry_ms)).await;
     enter(ctx, Phase::Refusing);
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
     let cut = ctx.drain.ended(limit).await;
-    let (done, told) = oneshot::channel();
+    let (done, notified) = oneshot::channel();
     ctx.gossip.note(Note::Goodbye(done));
-    let _ = compio::time::timeout(GOODBYE, told).await;
+    let _ = compio::time::timeout(GOODBYE_TIMEOUT, notified).await;
     ctx.events.emit(Kind::RouterStopped, |e| {
         e.detail = format!("{cut} still in flight at the limit");
     });
 }
 
-/// Until all have heard of the leave: only then is the last entry answer given that names this
-/// router. It grows with the logarithm of the fleet, as rumours do.
-fn news_ms(probe_interval_ms: u32, routers: usize) -> u64 {
+/// Returns the time until all routers have received the leave by gossip, after which no entry answer
+/// names this router. Gossip needs a number of rounds logarithmic in the size of the fleet.
+fn propagation_ms(probe_interval_ms: u32, routers: usize) -> u64 {
     let rounds = u64::from(routers.max(2).ilog2()) + 1;
     u64::from(probe_interval_ms) * rounds
 }
