--- a/src/serve/callers/answers.rs
+++ b/src/serve/callers/answers.rs
@@ -55,7 +55,7 @@
             tally.ended(false);
         }
         // The answer ended early: close the connection, so that the caller detects a truncated answer.
-        let _ = tx.send(Err(io::Error::other("answer cut"))).await;
+        let _ = tx.send(Err(io::Error::other("answer ended early"))).await;
     })
     .detach();
     let mut response = Response::new(Answer::Stream(rx));
@@ -244,7 +244,7 @@
         if !tx.is_closed() {
             tally.ended(false);
         }
-        let _ = tx.send(Err(io::Error::other("answer cut"))).await;
+        let _ = tx.send(Err(io::Error::other("answer ended early"))).await;
     })
     .detach();
     let mut response = Response::new(Answer::Stream(rx));
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -143,14 +143,14 @@
         let lease = match self.lessor.take(&name).await {
             Ok(lease) => lease,
             Err(e @ LeaseError::Held { .. }) => return refused(&e.to_string()),
-            Err(e) => return refused(&format!("not given: {e}")),
+            Err(e) => return refused(&format!("order not sent: {e}")),
         };
         self.emit(Kind::LeaseTaken, &lease, "");
         if lease.taken_over {
             self.set_in_transit(&upstream);
         }
         if let Some(wait_ms) = self.in_transit_ms(&name) {
-            let detail = format!("an earlier order may be in transit; come back in {wait_ms} ms");
+            let detail = format!("an earlier order may be in transit; retry in {wait_ms} ms");
             return reply(&lease, false, &detail);
         }
         let outcome = self
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -36,16 +36,21 @@
         let Self { ctx, dispatch } = self;
         match path {
             FORWARD => forward(ctx, dispatch, body).await,
-            CLAIM => reply(CLAIM, body, async |ask| handle_claim(ctx, ask).await).await,
+            CLAIM => {
+                reply(CLAIM, body, async |request| {
+                    handle_claim(ctx, request).await
+                })
+                .await
+            }
             CLAIM_NOTE => reply(CLAIM_NOTE, body, async |note| handle_note(ctx, note)).await,
-            CONFIG => reply(CONFIG, body, async |ask| handle_config(ctx, &ask)).await,
+            CONFIG => reply(CONFIG, body, async |request| handle_config(ctx, &request)).await,
             MEMBERS => {
-                reply(MEMBERS, body, async |ask| {
-                    server::members(&ctx.gossip, ask).await
+                reply(MEMBERS, body, async |request| {
+                    server::members(&ctx.gossip, request).await
                 })
                 .await
             }
-            WARM => reply(WARM, body, async |ask| dispatch.handle_warm(ask)).await,
+            WARM => reply(WARM, body, async |request| dispatch.handle_warm(request)).await,
             DEMAND => reply(DEMAND, body, async |report| dispatch.grant(&report)).await,
             CONVICTED => {
                 reply(CONVICTED, body, async |suspicion| {
@@ -59,9 +64,9 @@
 }
 
 /// Returns the configuration's offset and digest, and its state if newer than the requester's.
-fn handle_config(ctx: &SharedCtx, ask: &ConfigAsk) -> ConfigGive {
+fn handle_config(ctx: &SharedCtx, request: &ConfigAsk) -> ConfigGive {
     let config = ctx.config();
-    let newer = config.state.offset > ask.have_offset;
+    let newer = config.state.offset > request.have_offset;
     ConfigGive {
         digest: config.digest,
         offset: config.state.offset,
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -18,8 +18,8 @@
     mut questions: mpsc::Receiver<PeerQuestion>,
 ) {
     let mut next_peer = 0;
-    while let Some((ask, reply)) = questions.recv().await {
-        let newest = newest_reply(&ctx, &peers, ask, &mut next_peer).await;
+    while let Some((request, reply)) = questions.recv().await {
+        let newest = newest_reply(&ctx, &peers, request, &mut next_peer).await;
         // The receiver closes only when the router stops.
         let _ = reply.send(newest);
     }
@@ -29,18 +29,18 @@
 async fn newest_reply(
     ctx: &SharedCtx,
     peers: &PeerClient,
-    ask: ConfigAsk,
+    request: ConfigAsk,
     next_peer: &mut usize,
 ) -> Option<ConfigGive> {
     let fleet = ctx.fleet();
     let other = |m: &&Member| m.host != ctx.host && m.takes_work();
-    let others: Vec<&Member> = fleet.members.iter().filter(other).collect();
+    let candidates: Vec<&Member> = fleet.members.iter().filter(other).collect();
     let mut best: Option<ConfigGive> = None;
-    for _ in 0..PEERS_PER_QUERY.min(others.len()) {
-        let member = others[*next_peer % others.len()];
+    for _ in 0..PEERS_PER_QUERY.min(candidates.len()) {
+        let member = candidates[*next_peer % candidates.len()];
         *next_peer = next_peer.wrapping_add(1);
         match peers
-            .ask::<_, ConfigGive>(&member.peer_addr, CONFIG, &ask)
+            .ask::<_, ConfigGive>(&member.peer_addr, CONFIG, &request)
             .await
         {
             Ok(reply) if best.as_ref().is_none_or(|b| reply.offset > b.offset) => {
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -38,11 +38,11 @@
     /// it; a third claim could then run the request a second time.
     pub(crate) async fn claim(&self, claim: &mut Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         if let Some(addr) = self.reader(&claim.key) {
-            let ask = ClaimAsk {
+            let request = ClaimAsk {
                 claim: Some(claim.clone()),
                 key_ms,
             };
-            match self.peers.ask(&addr, CLAIM, &ask).await {
+            match self.peers.ask(&addr, CLAIM, &request).await {
                 Ok(reply) => return from_reply(reply),
                 Err(e) => log::debug!("claim at reader {addr} failed, reading the slot here: {e}"),
             }
@@ -80,11 +80,11 @@
 }
 
 /// Handles a peer's claim.
-pub(crate) async fn handle_claim(ctx: &SharedCtx, ask: ClaimAsk) -> ClaimGive {
-    let Some(claim) = ask.claim else {
+pub(crate) async fn handle_claim(ctx: &SharedCtx, request: ClaimAsk) -> ClaimGive {
+    let Some(claim) = request.claim else {
         return to_reply(Err(LogDown));
     };
-    to_reply(ctx.claims.claim(claim, ask.key_ms).await)
+    to_reply(ctx.claims.claim(claim, request.key_ms).await)
 }
 
 /// Queues a peer's claim, release or outcome for the log.
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -348,8 +348,8 @@
     }
 
     /// Handles another router's lookup or update of a chat's location.
-    pub(crate) fn handle_warm(&self, ask: WarmAsk) -> WarmGive {
-        self.placer.handle_warm(ask)
+    pub(crate) fn handle_warm(&self, request: WarmAsk) -> WarmGive {
+        self.placer.handle_warm(request)
     }
 
     /// Records a conviction received from another router.
--- a/src/serve/route/mod.rs
+++ b/src/serve/route/mod.rs
@@ -5,11 +5,11 @@
 
 pub(crate) mod claim_link;
 pub(crate) mod dispatch;
-pub(crate) mod kept;
 pub(crate) mod keys;
 pub(crate) mod once;
 pub(crate) mod placer;
 pub(crate) mod resume;
+pub(crate) mod stored_answer;
 pub(crate) mod tokens;
 
 #[cfg(test)]
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -20,11 +20,11 @@
 use crate::serve::SharedCtx;
 use crate::serve::route::claim_link::ClaimLink;
 use crate::serve::route::dispatch::{Dispatch, Started};
-use crate::serve::route::kept;
 use crate::serve::route::keys::{
     check_key_age, fingerprint, generate_key, invalid_key, is_non_idempotent, is_outcome_unknown,
     is_unreachable, outcome_unknown, run_state_unknown, uuid_ms,
 };
+use crate::serve::route::stored_answer;
 use crate::serve::route::tokens::{RUN_KEY_TTL_MS, RunKey};
 use crate::util::wall_ms;
 
@@ -258,7 +258,7 @@
                 if refuse::surely_not_run(&refused) {
                     self.release(&claim, arbiter, &request_id).await;
                 } else {
-                    let outcome = kept::unknown(&claim);
+                    let outcome = stored_answer::unknown(&claim);
                     self.store_outcome(arbiter, claim, outcome).await;
                 }
                 let _ = reply.send(Err(refused));
@@ -266,17 +266,17 @@
             }
         };
         let (tx, rest) = mpsc::channel(CHANNEL_CAPACITY);
-        let mut kept = kept::Recorder::new(&started.first);
+        let mut recorder = stored_answer::Recorder::new(&started.first);
         let mut frames = started.rest;
         let first = started.first;
         let _ = reply.send(Ok(Started { first, rest }));
         while let Some(body) = frames.recv().await {
-            kept.record(&body);
+            recorder.record(&body);
             // Fails if the caller has disconnected; the run continues to store its answer.
             let _ = tx.send(body).await;
         }
         drop(tx);
-        let outcome = kept.outcome(&claim);
+        let outcome = recorder.outcome(&claim);
         self.store_outcome(arbiter, claim, outcome).await;
     }
 
@@ -289,7 +289,7 @@
                 let detail = "idempotency-key: already used for a different request";
                 Err(refuse::not_run(Cause::BadRequest, 0, detail))
             }
-            Standing::Done(_, outcome) if outcome.status > 0 => Ok(kept::answer(outcome)),
+            Standing::Done(_, outcome) if outcome.status > 0 => Ok(stored_answer::replay(outcome)),
             Standing::Done(..) => Err(outcome_unknown(
                 "the outcome of an earlier attempt with this key is unknown",
             )),
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -204,14 +204,14 @@
         same
     }
 
-    /// Handles another router's lookup or, if `ask` names an upstream, update of a chat's location.
-    pub(crate) fn handle_warm(&self, ask: WarmAsk) -> WarmGive {
+    /// Handles another router's lookup or, if `request` names an upstream, update of a chat's location.
+    pub(crate) fn handle_warm(&self, request: WarmAsk) -> WarmGive {
         let chats = &mut self.state.borrow_mut().chats;
-        let chat = ChatKey(ask.chat_key);
-        if !ask.upstream.is_empty() {
+        let chat = ChatKey(request.chat_key);
+        if !request.upstream.is_empty() {
             let location = ChatLocation {
-                upstream: ask.upstream.into(),
-                tokens: ask.tokens,
+                upstream: request.upstream.into(),
+                tokens: request.tokens,
             };
             chats.put(chat, location, 1);
             return WarmGive::default();
@@ -233,11 +233,11 @@
             return Some(location.clone());
         }
         let addr = self.entry_router(forward, pool)?;
-        let ask = WarmAsk {
+        let query = WarmAsk {
             chat_key: forward.chat_key,
             ..WarmAsk::default()
         };
-        let lookup = self.peers.ask::<_, WarmGive>(&addr, WARM, &ask);
+        let lookup = self.peers.ask::<_, WarmGive>(&addr, WARM, &query);
         let found = compio::time::timeout(LOOKUP_TIMEOUT, lookup)
             .await
             .ok()?
--- a/src/serve/route/kept.rs
+++ b/src/serve/route/stored_answer.rs
@@ -74,7 +74,7 @@
 }
 
 /// Replays a stored answer.
-pub(crate) fn answer(outcome: Outcome) -> Started {
+pub(crate) fn replay(outcome: Outcome) -> Started {
     let (tx, rest) = mpsc::channel(2);
     let stored = if outcome.body_left_out {
         "status"
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -39,12 +39,12 @@
     compio::time::sleep(Duration::from_millis(expiry_ms)).await;
     enter(ctx, Phase::Refusing);
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
-    let cut = ctx.drain.ended(limit).await;
+    let unfinished = ctx.drain.ended(limit).await;
     let (done, notified) = oneshot::channel();
     ctx.gossip.note(Note::Goodbye(done));
     let _ = compio::time::timeout(GOODBYE_TIMEOUT, notified).await;
     ctx.events.emit(Kind::RouterStopped, |e| {
-        e.detail = format!("{cut} still in flight at the limit");
+        e.detail = format!("{unfinished} still in flight at the limit");
     });
 }
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -65,7 +65,7 @@
     assert!(order(&fleet, 0, "v1").await.done);
     let early = order(&fleet, 1, "v2").await;
     assert!(
-        !early.done && early.detail.contains("come back"),
+        !early.done && early.detail.contains("retry in"),
         "{early:?}"
     );
     assert_eq!(loaded(&fleet).await["values"]["load_version"], "v1");
@@ -84,7 +84,7 @@
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
     let refused = order(&fleet, 0, "v1").await;
     assert!(!refused.done, "{refused:?}");
-    assert!(refused.detail.starts_with("not given"), "{refused:?}");
+    assert!(refused.detail.starts_with("order not sent"), "{refused:?}");
     let values = &loaded(&fleet).await["values"];
     assert!(values.get("load_version").is_none(), "{values}");
 }
