--- a/src/router.rs
+++ b/src/router.rs
@@ -23,7 +23,7 @@
 use crate::schema::settings::{Fleet, Listen, Settings};
 use crate::serve::home::Homes;
 use crate::serve::operator::orders::{self, Orders};
-use crate::serve::peers::{PeerHandler, join, states};
+use crate::serve::peers::{PeerService, join, states};
 use crate::serve::route::Dispatch;
 use crate::serve::{Admin, Callers, Ctx, Operators, RunKeys, SharedCtx, grouping, stop};
 use crate::util::{Clock, Name, wall_ms};
@@ -111,7 +111,7 @@
         let peers = PeerClient::new(&fleet_key, ctx.events.clone());
         compio::runtime::spawn(states::answer(ctx.clone(), peers.clone(), questions)).detach();
         let dispatch = Dispatch::new(ctx.clone(), homes.clone(), peers.clone(), http);
-        let answers = PeerHandler {
+        let answers = PeerService {
             ctx: ctx.clone(),
             dispatch: dispatch.clone(),
         };
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -26,12 +26,12 @@
 
 /// Handles peers' requests at a router that runs on the project's own log.
 #[derive(Clone)]
-pub(crate) struct PeerHandler {
+pub(crate) struct PeerService {
     pub(crate) ctx: SharedCtx,
     pub(crate) dispatch: Dispatch,
 }
 
-impl Questions for PeerHandler {
+impl Questions for PeerService {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         let Self { ctx, dispatch } = self;
         match path {
