--- a/src/serve/admin.rs
+++ b/src/serve/admin.rs
@@ -13,9 +13,9 @@
 
 use crate::exporter::Exporter;
 use crate::front::body::Answer;
-use crate::front::listen::{self, Place, Places};
+use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
 use crate::front::pages::Page;
-use crate::log::follow::Standing;
+use crate::log::follow::FollowStatus;
 use crate::serve::SharedCtx;
 
 /// Far more than scrapers need; the bound keeps file descriptors free for callers.
@@ -58,17 +58,22 @@
 }
 
 async fn accept(listener: TcpListener, ctx: SharedCtx, metrics: Option<Exporter>) {
-    let places = Places::new(MAX_CONNECTIONS);
+    let permits = ConnectionPermits::new(MAX_CONNECTIONS);
     loop {
         let stream = listen::accept(&listener, "admin connection").await;
-        if let Some(place) = places.take() {
-            let connection = serve(stream, ctx.clone(), metrics.clone(), place);
+        if let Some(permit) = permits.take() {
+            let connection = serve(stream, ctx.clone(), metrics.clone(), permit);
             compio::runtime::spawn(connection).detach();
         }
     }
 }
 
-async fn serve(stream: TcpStream, ctx: SharedCtx, metrics: Option<Exporter>, _place: Place) {
+async fn serve(
+    stream: TcpStream,
+    ctx: SharedCtx,
+    metrics: Option<Exporter>,
+    _permit: ConnectionPermit,
+) {
     let service = service_fn(move |request| {
         let response = page(&ctx, metrics.as_ref(), &request);
         async move { Ok::<_, Infallible>(response) }
@@ -104,13 +109,15 @@
     let version = ctx.config().state.version;
     let mut reasons = Vec::new();
     if version == 0 {
-        reasons.push(match ctx.keeper.standing() {
-            Standing::LogDown => "no configuration yet: not available from the log or a peer",
-            Standing::Gap => {
+        reasons.push(match ctx.config_handle.status() {
+            FollowStatus::LogDown => "no configuration yet: not available from the log or a peer",
+            FollowStatus::Gap => {
                 "no configuration yet: the log's records expired and no peer has a copy"
             }
-            Standing::Newer { .. } => "no configuration yet: the log's records use a newer schema",
-            Standing::Starting | Standing::Current => "no configuration yet",
+            FollowStatus::Newer { .. } => {
+                "no configuration yet: the log's records use a newer schema"
+            }
+            FollowStatus::Starting | FollowStatus::Current => "no configuration yet",
         });
     }
     if ctx.drain.is_stopping() {
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -14,10 +14,10 @@
 use crate::fleet::homes;
 use crate::front::body::{Answer, next_wanted};
 use crate::peers::frames::{self, Decoder};
-use crate::peers::server::{self, Questions, reply, status};
+use crate::peers::server::{self, PeerHandler, reply, status};
 use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
 use crate::schema::peer::frame::Body;
-use crate::schema::peer::{ConfigAsk, ConfigGive, Forward, Frame};
+use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
 use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, handle_claim, handle_note};
 use crate::serve::route::dispatch::Dispatch;
 use crate::serve::route::once::AtMostOnce;
@@ -31,7 +31,7 @@
     pub(crate) dispatch: Dispatch,
 }
 
-impl Questions for PeerService {
+impl PeerHandler for PeerService {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         let Self { ctx, dispatch } = self;
         match path {
@@ -64,10 +64,10 @@
 }
 
 /// Returns the configuration's offset and digest, and its state if newer than the requester's.
-fn handle_config(ctx: &SharedCtx, request: &ConfigAsk) -> ConfigGive {
+fn handle_config(ctx: &SharedCtx, request: &ConfigRequest) -> ConfigReply {
     let config = ctx.config();
     let newer = config.state.offset > request.have_offset;
-    ConfigGive {
+    ConfigReply {
         digest: config.digest,
         offset: config.state.offset,
         state: newer.then(|| config.state.clone()),
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -3,9 +3,9 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::member::Member;
-use crate::log::keeper::PeerQuestion;
+use crate::log::config_task::PeerQuestion;
 use crate::peers::{CONFIG, PeerClient};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::serve::SharedCtx;
 
 /// Peers queried per request, in rotation from one request to the next.
@@ -29,18 +29,18 @@
 async fn newest_reply(
     ctx: &SharedCtx,
     peers: &PeerClient,
-    request: ConfigAsk,
+    request: ConfigRequest,
     next_peer: &mut usize,
-) -> Option<ConfigGive> {
+) -> Option<ConfigReply> {
     let fleet = ctx.fleet();
     let other = |m: &&Member| m.host != ctx.host && m.takes_work();
     let candidates: Vec<&Member> = fleet.members.iter().filter(other).collect();
-    let mut best: Option<ConfigGive> = None;
+    let mut best: Option<ConfigReply> = None;
     for _ in 0..PEERS_PER_QUERY.min(candidates.len()) {
         let member = candidates[*next_peer % candidates.len()];
         *next_peer = next_peer.wrapping_add(1);
         match peers
-            .ask::<_, ConfigGive>(&member.peer_addr, CONFIG, &request)
+            .ask::<_, ConfigReply>(&member.peer_addr, CONFIG, &request)
             .await
         {
             Ok(reply) if best.as_ref().is_none_or(|b| reply.offset > b.offset) => {
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -4,11 +4,11 @@
 
 use crate::fleet::homes;
 use crate::log::claimant::Grouping;
-use crate::log::claims::{self, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
 use crate::peers::PeerClient;
-use crate::schema::peer::{ClaimAsk, ClaimGive, ClaimNote, Done};
+use crate::schema::peer::{ClaimReply, ClaimRequest, ClaimUpdate, Done};
 use crate::schema::records::claim_record::Body as Record;
 use crate::schema::records::{Claim, Release};
 use crate::schema::settings::Platform;
@@ -38,7 +38,7 @@
     /// it; a third claim could then run the request a second time.
     pub(crate) async fn claim(&self, claim: &mut Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         if let Some(addr) = self.reader(&claim.key) {
-            let request = ClaimAsk {
+            let request = ClaimRequest {
                 claim: Some(claim.clone()),
                 key_ms,
             };
@@ -65,7 +65,7 @@
     }
 
     /// Appends a release or an outcome through the slot's reader, or here if it does not answer.
-    pub(crate) async fn append_note(&self, key: &str, note: ClaimNote) {
+    pub(crate) async fn append_note(&self, key: &str, note: ClaimUpdate) {
         if let Some(addr) = self.reader(key)
             && self
                 .peers
@@ -80,7 +80,7 @@
 }
 
 /// Handles a peer's claim.
-pub(crate) async fn handle_claim(ctx: &SharedCtx, request: ClaimAsk) -> ClaimGive {
+pub(crate) async fn handle_claim(ctx: &SharedCtx, request: ClaimRequest) -> ClaimReply {
     let Some(claim) = request.claim else {
         return to_reply(Err(LogDown));
     };
@@ -88,7 +88,7 @@
 }
 
 /// Queues a peer's claim, release or outcome for the log.
-pub(crate) fn handle_note(ctx: &SharedCtx, note: ClaimNote) -> Done {
+pub(crate) fn handle_note(ctx: &SharedCtx, note: ClaimUpdate) -> Done {
     if let Some(claim) = note.claim {
         let key = claim.key.clone();
         ctx.claims.note(&key, Record::Claim(claim));
@@ -104,42 +104,42 @@
     Done {}
 }
 
-fn to_reply(result: Result<Verdict, LogDown>) -> ClaimGive {
+fn to_reply(result: Result<Verdict, LogDown>) -> ClaimReply {
     match result {
-        Ok(Verdict::Won) => ClaimGive {
+        Ok(Verdict::Won) => ClaimReply {
             won: true,
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Ok(Verdict::Lost(Standing::Free)) => ClaimGive::default(),
-        Ok(Verdict::Lost(Standing::Held(holder))) => ClaimGive {
+        Ok(Verdict::Lost(KeyStatus::Free)) => ClaimReply::default(),
+        Ok(Verdict::Lost(KeyStatus::Held(holder))) => ClaimReply {
             holder: Some(holder),
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Ok(Verdict::Lost(Standing::Done(holder, outcome))) => ClaimGive {
+        Ok(Verdict::Lost(KeyStatus::Done(holder, outcome))) => ClaimReply {
             holder: Some(holder),
             outcome: Some(outcome),
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Err(LogDown) => ClaimGive {
+        Err(LogDown) => ClaimReply {
             log_down: true,
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
     }
 }
 
-fn from_reply(reply: ClaimGive) -> Result<Verdict, LogDown> {
+fn from_reply(reply: ClaimReply) -> Result<Verdict, LogDown> {
     if reply.log_down {
         return Err(LogDown);
     }
     if reply.won {
         return Ok(Verdict::Won);
     }
-    let standing = match (reply.holder, reply.outcome) {
-        (Some(holder), Some(outcome)) => Standing::Done(holder, outcome),
-        (Some(holder), None) => Standing::Held(holder),
-        _ => Standing::Free,
+    let status = match (reply.holder, reply.outcome) {
+        (Some(holder), Some(outcome)) => KeyStatus::Done(holder, outcome),
+        (Some(holder), None) => KeyStatus::Held(holder),
+        _ => KeyStatus::Free,
     };
-    Ok(Verdict::Lost(standing))
+    Ok(Verdict::Lost(status))
 }
 
 /// Returns the settings for grouping claims.
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -7,8 +7,8 @@
 use futures_util::pin_mut;
 use tokio::sync::mpsc;
 
-use crate::decide::refusal::{Cause, spread_ms};
-use crate::decide::retry::Failed;
+use crate::decide::refusal::{Cause, jittered_ms};
+use crate::decide::retry::FailedAttempt;
 use crate::decide::{ChatKey, Rates, refusal};
 use crate::event::Kind;
 use crate::fleet::homes;
@@ -17,7 +17,7 @@
 use crate::schema::config::Upstream;
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{
-    DemandReport, Done, Forward, Refusal, ShareGrant, Suspicion, WarmAsk, WarmGive,
+    DemandReport, Done, Forward, Refusal, ShareGrant, Suspicion, WarmReply, WarmRequest,
 };
 use crate::serve::SharedCtx;
 use crate::serve::home::Homes;
@@ -62,7 +62,7 @@
     /// The upstream is full but within its load bound: queue there if no other has a free slot.
     Full(Refusal),
     /// The upstream is unreachable or leaving, and no byte of the request was sent to it.
-    Failed(Refusal),
+    FailedAttempt(Refusal),
     /// The refusal is final for the caller.
     Refused(Refusal),
 }
@@ -114,7 +114,7 @@
             }
             let spent_ms = self.ctx.clock.now_ms() - start_ms;
             forward.remaining_ms = budget_ms.saturating_sub(spent_ms);
-            let attempt = Failed {
+            let attempt = FailedAttempt {
                 may_have_run: !refuse::surely_not_run(&refused),
                 retries,
                 remaining_ms: forward.remaining_ms,
@@ -143,7 +143,7 @@
         if let Some(name) = resume {
             match self.try_at(forward, &name, &plan, true).await {
                 Attempt::Started(started) => return Ok(started),
-                Attempt::Failed(refused) => return Err((Some(name), refused)),
+                Attempt::FailedAttempt(refused) => return Err((Some(name), refused)),
                 Attempt::Next(_) | Attempt::Full(_) | Attempt::Refused(_) => {}
             }
         }
@@ -159,18 +159,18 @@
                     full = true;
                     last = Some(name.clone());
                 }
-                Attempt::Failed(refused) => return Err((Some(name.clone()), refused)),
+                Attempt::FailedAttempt(refused) => return Err((Some(name.clone()), refused)),
                 Attempt::Refused(refused) => return Err((None, refused)),
             }
         }
         let Some(name) = last else {
             let detail = "the service has no upstream that takes work";
-            let base_ms = spread_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
+            let base_ms = jittered_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
             return Err((None, refuse::not_run(Cause::NoUpstream, base_ms, detail)));
         };
         match self.try_at(forward, &name, &plan, true).await {
             Attempt::Started(started) => Ok(started),
-            Attempt::Failed(refused) => Err((Some(name), refused)),
+            Attempt::FailedAttempt(refused) => Err((Some(name), refused)),
             Attempt::Next(refused) | Attempt::Full(refused) | Attempt::Refused(refused) => {
                 Err((None, self.with_retry_delay(refused)))
             }
@@ -188,7 +188,7 @@
         let config = self.ctx.config();
         let Some(upstream) = config.upstream(&forward.service, name).cloned() else {
             let detail = "the upstream was removed from the configuration";
-            return Attempt::Failed(refuse::not_run(
+            return Attempt::FailedAttempt(refuse::not_run(
                 Cause::NoUpstream,
                 NO_UPSTREAM_RETRY_MS,
                 detail,
@@ -266,11 +266,11 @@
             Ok(Cause::OverBound) => Attempt::Next(refused),
             Ok(Cause::Full) => Attempt::Full(refused),
             Ok(Cause::NoUpstream | Cause::Draining | Cause::HomeUnreachable) => {
-                Attempt::Failed(refused)
+                Attempt::FailedAttempt(refused)
             }
             Ok(Cause::UpstreamFailed) => {
                 self.placer.failed(forward, name);
-                Attempt::Failed(refused)
+                Attempt::FailedAttempt(refused)
             }
             _ => Attempt::Refused(refused),
         }
@@ -279,7 +279,7 @@
     /// Sets a retry delay on a refusal that has none.
     fn with_retry_delay(&self, mut refused: Refusal) -> Refusal {
         if refused.retry_after_ms == 0 {
-            refused.retry_after_ms = spread_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
+            refused.retry_after_ms = jittered_ms(NO_UPSTREAM_RETRY_MS, &mut rand::rng());
         }
         refused
     }
@@ -348,7 +348,7 @@
     }
 
     /// Handles another router's lookup or update of a chat's location.
-    pub(crate) fn handle_warm(&self, request: WarmAsk) -> WarmGive {
+    pub(crate) fn handle_warm(&self, request: WarmRequest) -> WarmReply {
         self.placer.handle_warm(request)
     }
 
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -7,14 +7,14 @@
 
 use crate::decide::refusal::{Cause, Refusal, RunState};
 use crate::event::Kind;
-use crate::log::claims::{self, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
 use crate::peers::{Frames, PeerClient, refuse};
 use crate::schema::config::Service;
 use crate::schema::peer;
 use crate::schema::peer::frame::Body;
-use crate::schema::peer::{ClaimNote, Forward};
+use crate::schema::peer::{ClaimUpdate, Forward};
 use crate::schema::records::claim_record::Body as Record;
 use crate::schema::records::{Claim, Outcome, Release};
 use crate::serve::SharedCtx;
@@ -101,9 +101,9 @@
         );
         match self.link.claim(&mut claim, key.at_ms).await {
             Ok(Verdict::Won) => self.won(&key, claim, forward).await,
-            Ok(Verdict::Lost(standing)) => {
+            Ok(Verdict::Lost(status)) => {
                 self.emit_claim(Kind::ClaimLost, &claim, &forward.request_id);
-                self.answer_resend(&claim, standing)
+                self.answer_resend(&claim, status)
             }
             Err(LogDown) => Err(run_state_unknown(refuse::not_run(
                 Cause::LogUnavailable,
@@ -170,7 +170,7 @@
         check_key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(forward);
         match self.ctx.claims.look(&claim.key, at_ms).await {
-            Ok(standing @ Standing::Done(..)) => self.answer_resend(&claim, standing),
+            Ok(status @ KeyStatus::Done(..)) => self.answer_resend(&claim, status),
             _ => Err(outcome_unknown(
                 "the router that this key names is gone; nobody knows whether it ran",
             )),
@@ -192,7 +192,7 @@
         let claim = self.scoped_claim(&forward);
         match self.ctx.run_keys.claim(&claim) {
             Verdict::Won => self.start(claim, Arbiter::Memory, forward).await,
-            Verdict::Lost(standing) => self.answer_resend(&claim, standing),
+            Verdict::Lost(status) => self.answer_resend(&claim, status),
         }
     }
 
@@ -281,21 +281,21 @@
     }
 
     /// Answers a request whose key was claimed earlier.
-    fn answer_resend(&self, claim: &Claim, standing: Standing) -> Result<Started, peer::Refusal> {
-        match standing {
-            Standing::Held(holder) | Standing::Done(holder, _)
+    fn answer_resend(&self, claim: &Claim, status: KeyStatus) -> Result<Started, peer::Refusal> {
+        match status {
+            KeyStatus::Held(holder) | KeyStatus::Done(holder, _)
                 if holder.fingerprint != claim.fingerprint =>
             {
                 let detail = "idempotency-key: already used for a different request";
                 Err(refuse::not_run(Cause::BadRequest, 0, detail))
             }
-            Standing::Done(_, outcome) if outcome.status > 0 => Ok(stored_answer::replay(outcome)),
-            Standing::Done(..) => Err(outcome_unknown(
+            KeyStatus::Done(_, outcome) if outcome.status > 0 => Ok(stored_answer::replay(outcome)),
+            KeyStatus::Done(..) => Err(outcome_unknown(
                 "the outcome of an earlier attempt with this key is unknown",
             )),
-            Standing::Held(holder) => Err(self.still_running(&holder)),
+            KeyStatus::Held(holder) => Err(self.still_running(&holder)),
             // The holder released the claim in the meantime.
-            Standing::Free => Err(refuse::not_run(
+            KeyStatus::Free => Err(refuse::not_run(
                 Cause::StillRunning,
                 STILL_RUNNING_RETRY_MS,
                 "an earlier attempt with this key was not run; send the request again",
@@ -348,9 +348,9 @@
             self.ctx.run_keys.record(Record::Release(release));
             return;
         }
-        let note = ClaimNote {
+        let note = ClaimUpdate {
             release: Some(release),
-            ..ClaimNote::default()
+            ..ClaimUpdate::default()
         };
         self.link.append_note(&claim.key, note).await;
     }
@@ -359,9 +359,9 @@
     /// its claim, so that other routers can answer once this one is gone.
     async fn store_outcome(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
         let key = claim.key.clone();
-        let mut note = ClaimNote {
+        let mut note = ClaimUpdate {
             outcome: Some(outcome.clone()),
-            ..ClaimNote::default()
+            ..ClaimUpdate::default()
         };
         if arbiter == Arbiter::Memory {
             self.ctx.run_keys.record(Record::Outcome(outcome));
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -12,16 +12,16 @@
 
 use crate::decide::ejection::{self, Change, Ejector};
 use crate::decide::loads::Slots;
+use crate::decide::lru::LruCache;
 use crate::decide::placement::{self, PlacementPolicy, PoolIndex};
-use crate::decide::retry::{self, Budget, Failed};
-use crate::decide::warm::Warm;
+use crate::decide::retry::{self, FailedAttempt, RetryBudget};
 use crate::decide::{ChatKey, Rates};
 use crate::event::Kind;
 use crate::fleet::homes;
 use crate::log::view::ConfigView;
 use crate::peers::{PeerClient, WARM};
 use crate::schema::config::Policy;
-use crate::schema::peer::{Forward, WarmAsk, WarmGive};
+use crate::schema::peer::{Forward, WarmReply, WarmRequest};
 use crate::serve::SharedCtx;
 use crate::serve::home::loads::{SharedLoads, pool_slots};
 use crate::util::Name;
@@ -59,12 +59,12 @@
 }
 
 struct State {
-    chats: Warm<ChatLocation>,
+    chats: LruCache<ChatLocation>,
     pools: HashMap<Name, Rc<PoolState>>,
     config: Option<Arc<ConfigView>>,
     joined_ms: HashMap<Name, u64>,
     ejector: Ejector,
-    budget: Budget,
+    budget: RetryBudget,
     rng: SmallRng,
 }
 
@@ -76,12 +76,12 @@
 impl Placer {
     pub(crate) fn new(ctx: SharedCtx, peers: PeerClient, loads: SharedLoads) -> Self {
         let state = State {
-            chats: Warm::new(MAX_CHATS),
+            chats: LruCache::new(MAX_CHATS),
             pools: HashMap::new(),
             config: None,
             joined_ms: HashMap::new(),
             ejector: Ejector::default(),
-            budget: Budget::new(retry::DEFAULT_SHARE),
+            budget: RetryBudget::new(retry::DEFAULT_SHARE),
             rng: SmallRng::from_os_rng(),
         };
         Self {
@@ -161,7 +161,7 @@
     }
 
     /// Returns how long to wait before a retry, or `None` if the request must not be retried.
-    pub(crate) fn pause_ms(&self, failed: Failed) -> Option<u64> {
+    pub(crate) fn pause_ms(&self, failed: FailedAttempt) -> Option<u64> {
         let state = &mut *self.state.borrow_mut();
         state.budget.pause_ms(failed, &mut state.rng)
     }
@@ -181,14 +181,14 @@
         let Some(addr) = pool.and_then(|pool| self.entry_router(forward, &pool)) else {
             return;
         };
-        let update = WarmAsk {
+        let update = WarmRequest {
             chat_key: forward.chat_key,
             upstream: upstream.to_string(),
             tokens,
         };
         let peers = self.peers.clone();
         compio::runtime::spawn(async move {
-            if let Err(e) = peers.ask::<_, WarmGive>(&addr, WARM, &update).await {
+            if let Err(e) = peers.ask::<_, WarmReply>(&addr, WARM, &update).await {
                 log::debug!("sending a chat's location to {addr} failed: {e}");
             }
         })
@@ -205,7 +205,7 @@
     }
 
     /// Handles another router's lookup or, if `request` names an upstream, update of a chat's location.
-    pub(crate) fn handle_warm(&self, request: WarmAsk) -> WarmGive {
+    pub(crate) fn handle_warm(&self, request: WarmRequest) -> WarmReply {
         let chats = &mut self.state.borrow_mut().chats;
         let chat = ChatKey(request.chat_key);
         if !request.upstream.is_empty() {
@@ -214,10 +214,10 @@
                 tokens: request.tokens,
             };
             chats.put(chat, location, 1);
-            return WarmGive::default();
+            return WarmReply::default();
         }
         let location = chats.get(chat);
-        location.map_or_else(WarmGive::default, |l| WarmGive {
+        location.map_or_else(WarmReply::default, |l| WarmReply {
             upstream: l.upstream.to_string(),
             tokens: l.tokens,
         })
@@ -233,11 +233,11 @@
             return Some(location.clone());
         }
         let addr = self.entry_router(forward, pool)?;
-        let query = WarmAsk {
+        let query = WarmRequest {
             chat_key: forward.chat_key,
-            ..WarmAsk::default()
+            ..WarmRequest::default()
         };
-        let lookup = self.peers.ask::<_, WarmGive>(&addr, WARM, &query);
+        let lookup = self.peers.ask::<_, WarmReply>(&addr, WARM, &query);
         let found = compio::time::timeout(LOOKUP_TIMEOUT, lookup)
             .await
             .ok()?
