--- a/src/serve/home/limits.rs
+++ b/src/serve/home/limits.rs
@@ -1,4 +1,4 @@
-//! Account limits at this router, and the shares of them granted by each account's accountant.
+//! Account limits at this router, and the shares of them granted by each account's share allocator.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
 pub(crate) struct AccountLimits {
     ctx: SharedCtx,
     limits: Rc<RefCell<Limits>>,
-    accountant: Rc<RefCell<ShareAllocator>>,
+    allocator: Rc<RefCell<ShareAllocator>>,
 }
 
 /// Counts one request of an account as running until dropped.
@@ -46,7 +46,7 @@
         let accounts = Self {
             ctx,
             limits: Rc::default(),
-            accountant: Rc::default(),
+            allocator: Rc::default(),
         };
         compio::runtime::spawn(accounts.clone().report_all(peers)).detach();
         accounts
@@ -77,11 +77,11 @@
         })
     }
 
-    /// Grants shares, as the accountant of the accounts in `report`.
+    /// Grants shares, as the allocator for the accounts in `report`.
     pub(crate) fn grant(&self, report: &DemandReport) -> ShareGrant {
         let (routers, now_ms) = (self.routers(), self.ctx.clock.now_ms());
         let router = Name::from(report.host.as_str());
-        let mut accountant = self.accountant.borrow_mut();
+        let mut allocator = self.allocator.borrow_mut();
         let share = |demanded: &AccountDemand| {
             let demand = Demand {
                 rate_per_s: demanded.rate_per_s,
@@ -89,7 +89,7 @@
             };
             let account = Name::from(demanded.account.as_str());
             let limit = self.limit(&account);
-            let share = accountant.report(&account, &router, demand, limit, routers, now_ms);
+            let share = allocator.report(&account, &router, demand, limit, routers, now_ms);
             AccountShare {
                 account: demanded.account.clone(),
                 rate_per_s: share.rate_per_s,
@@ -104,43 +104,43 @@
     async fn report_all(self, peers: PeerClient) {
         loop {
             compio::time::sleep(self.interval()).await;
-            for (accountant, demands) in self.demands() {
+            for (allocator, demands) in self.demands() {
                 let report = DemandReport {
                     host: self.ctx.host.to_string(),
                     demands,
                 };
-                let Some(addr) = accountant else {
+                let Some(addr) = allocator else {
                     self.apply_grant(&self.grant(&report));
                     continue;
                 };
                 match peers.ask(&addr, DEMAND, &report).await {
                     Ok(grant) => self.apply_grant(&grant),
-                    // Shares decay to an even split until an accountant answers.
-                    Err(e) => log::debug!("demand report to accountant {addr} failed: {e}"),
+                    // Shares decay to an even split until an allocator answers.
+                    Err(e) => log::debug!("demand report to share allocator {addr} failed: {e}"),
                 }
             }
         }
     }
 
-    /// Returns the demand of limited accounts by their accountant's address; `None` is this router.
+    /// Returns the demand of limited accounts by their allocator's address; `None` is this router.
     fn demands(&self) -> HashMap<Option<Name>, Vec<AccountDemand>> {
         let now_ms = self.ctx.clock.now_ms();
         let fleet = self.ctx.fleet();
-        let mut by_accountant: HashMap<_, Vec<_>> = HashMap::new();
+        let mut by_allocator: HashMap<_, Vec<_>> = HashMap::new();
         for (account, demand) in self.limits.borrow_mut().demands(now_ms) {
             if self.limit(&account) == Limit::default() {
                 continue;
             }
-            let accountant = homes::home(&fleet, &account, "");
-            let other = accountant.filter(|a| a.host != self.ctx.host);
+            let allocator = homes::home(&fleet, &account, "");
+            let other = allocator.filter(|a| a.host != self.ctx.host);
             let addr = other.map(|a| a.peer_addr.clone());
-            by_accountant.entry(addr).or_default().push(AccountDemand {
+            by_allocator.entry(addr).or_default().push(AccountDemand {
                 account: account.to_string(),
                 rate_per_s: demand.rate_per_s,
                 concurrency: to_count(demand.concurrency),
             });
         }
-        by_accountant
+        by_allocator
     }
 
     fn apply_grant(&self, grant: &ShareGrant) {
--- a/src/serve/home/loads.rs
+++ b/src/serve/home/loads.rs
@@ -58,18 +58,18 @@
 
     /// Records the load that an upstream's home attached to its reply.
     pub(crate) fn record_reply(&self, upstream: &Name, load: &LoadNow) {
-        let seen = UpstreamLoad {
+        let reported = UpstreamLoad {
             work_ms: load.work_ms,
             in_flight: load.in_flight,
             queued: load.queued,
         };
-        self.set(upstream, seen);
+        self.set(upstream, reported);
     }
 
     /// Records the exact load of an upstream that this router is home to.
-    pub(crate) fn set(&self, upstream: &Name, seen: UpstreamLoad) {
+    pub(crate) fn set(&self, upstream: &Name, load: UpstreamLoad) {
         let now_ms = self.clock.now_ms();
-        self.state.borrow_mut().view.heard(upstream, seen, now_ms);
+        self.state.borrow_mut().view.heard(upstream, load, now_ms);
     }
 
     /// Adds a job that was just sent to `upstream`.
@@ -111,13 +111,13 @@
             return;
         }
         for (name, load) in &latest.by_upstream {
-            state.view.reported(name, seen(load), load.seq);
+            state.view.reported(name, upstream_load(load), load.seq);
         }
         state.applied = Some(latest);
     }
 }
 
-fn seen(load: &Load) -> UpstreamLoad {
+fn upstream_load(load: &Load) -> UpstreamLoad {
     UpstreamLoad {
         work_ms: load.work_ms,
         in_flight: load.in_flight,
--- a/src/serve/home/mod.rs
+++ b/src/serve/home/mod.rs
@@ -90,11 +90,11 @@
 
     /// Returns the upstream's load as last recorded by its home task here.
     pub(crate) fn load(&self, upstream: &str) -> Option<LoadNow> {
-        let seen = self.loads.get(upstream)?;
+        let load = self.loads.get(upstream)?;
         Some(LoadNow {
-            work_ms: seen.work_ms,
-            in_flight: seen.in_flight,
-            queued: seen.queued,
+            work_ms: load.work_ms,
+            in_flight: load.in_flight,
+            queued: load.queued,
         })
     }
 
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -50,8 +50,8 @@
     let adaptive = (!engine && upstream.slots == 0).then(Concurrency::default);
     let reports = engine.then(|| reports::spawn(http, &upstream.addr, REPORT_INTERVAL));
     let mut home = Home::new(policy(&config, upstream));
-    if let Some(seen) = loads.get(&upstream.name) {
-        home.inherit(seen.in_flight, seen.work_ms, ctx.clock.now_ms());
+    if let Some(load) = loads.get(&upstream.name) {
+        home.inherit(load.in_flight, load.work_ms, ctx.clock.now_ms());
     }
     let mut task = Task {
         name: upstream.name.as_str().into(),
@@ -279,15 +279,15 @@
 
     fn publish(&mut self) {
         self.publish_seq += 1;
-        let seen = self.current_load();
+        let current = self.current_load();
         let load = Load {
             upstream: self.name.to_string(),
-            work_ms: seen.work_ms,
-            in_flight: seen.in_flight,
-            queued: seen.queued,
+            work_ms: current.work_ms,
+            in_flight: current.in_flight,
+            queued: current.queued,
             seq: self.publish_seq,
         };
-        self.loads.set(&self.name, seen);
+        self.loads.set(&self.name, current);
         stats::upstream(&load);
         self.ctx.gossip.publish(Publish::Loads(vec![load]));
     }
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -18,7 +18,7 @@
 use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
-use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, handle_claim, handle_note};
+use crate::serve::route::claim_link::{CLAIM, CLAIM_UPDATE, handle_claim, handle_update};
 use crate::serve::route::dispatch::Dispatch;
 use crate::serve::route::once::AtMostOnce;
 use crate::serve::{SharedCtx, stop};
@@ -42,7 +42,12 @@
                 })
                 .await
             }
-            CLAIM_NOTE => reply(CLAIM_NOTE, body, async |note| handle_note(ctx, note)).await,
+            CLAIM_UPDATE => {
+                reply(CLAIM_UPDATE, body, async |update| {
+                    handle_update(ctx, update)
+                })
+                .await
+            }
             CONFIG => reply(CONFIG, body, async |request| handle_config(ctx, &request)).await,
             MEMBERS => {
                 reply(MEMBERS, body, async |request| {
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -16,7 +16,7 @@
 use crate::util::Name;
 
 pub(crate) const CLAIM: &str = "/claim";
-pub(crate) const CLAIM_NOTE: &str = "/claim-note";
+pub(crate) const CLAIM_UPDATE: &str = "/claim-note";
 
 /// Sends claims, releases and outcomes to the reader of their slot.
 #[derive(Clone)]
@@ -65,17 +65,17 @@
     }
 
     /// Appends a release or an outcome through the slot's reader, or here if it does not answer.
-    pub(crate) async fn append_note(&self, key: &str, note: ClaimUpdate) {
+    pub(crate) async fn append_update(&self, key: &str, update: ClaimUpdate) {
         if let Some(addr) = self.reader(key)
             && self
                 .peers
-                .ask::<_, Done>(&addr, CLAIM_NOTE, &note)
+                .ask::<_, Done>(&addr, CLAIM_UPDATE, &update)
                 .await
                 .is_ok()
         {
             return;
         }
-        handle_note(&self.ctx, note);
+        handle_update(&self.ctx, update);
     }
 }
 
@@ -88,16 +88,16 @@
 }
 
 /// Queues a peer's claim, release or outcome for the log.
-pub(crate) fn handle_note(ctx: &SharedCtx, note: ClaimUpdate) -> Done {
-    if let Some(claim) = note.claim {
+pub(crate) fn handle_update(ctx: &SharedCtx, update: ClaimUpdate) -> Done {
+    if let Some(claim) = update.claim {
         let key = claim.key.clone();
         ctx.claims.note(&key, Record::Claim(claim));
     }
-    if let Some(release) = note.release {
+    if let Some(release) = update.release {
         let key = release.key.clone();
         ctx.claims.note(&key, Record::Release(release));
     }
-    if let Some(outcome) = note.outcome {
+    if let Some(outcome) = update.outcome {
         let key = outcome.key.clone();
         ctx.claims.note(&key, Record::Outcome(outcome));
     }
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -62,7 +62,7 @@
     /// The upstream is full but within its load bound: queue there if no other has a free slot.
     Full(Refusal),
     /// The upstream is unreachable or leaving, and no byte of the request was sent to it.
-    FailedAttempt(Refusal),
+    Failed(Refusal),
     /// The refusal is final for the caller.
     Refused(Refusal),
 }
@@ -143,7 +143,7 @@
         if let Some(name) = resume {
             match self.try_at(forward, &name, &plan, true).await {
                 Attempt::Started(started) => return Ok(started),
-                Attempt::FailedAttempt(refused) => return Err((Some(name), refused)),
+                Attempt::Failed(refused) => return Err((Some(name), refused)),
                 Attempt::Next(_) | Attempt::Full(_) | Attempt::Refused(_) => {}
             }
         }
@@ -159,7 +159,7 @@
                     full = true;
                     last = Some(name.clone());
                 }
-                Attempt::FailedAttempt(refused) => return Err((Some(name.clone()), refused)),
+                Attempt::Failed(refused) => return Err((Some(name.clone()), refused)),
                 Attempt::Refused(refused) => return Err((None, refused)),
             }
         }
@@ -170,7 +170,7 @@
         };
         match self.try_at(forward, &name, &plan, true).await {
             Attempt::Started(started) => Ok(started),
-            Attempt::FailedAttempt(refused) => Err((Some(name), refused)),
+            Attempt::Failed(refused) => Err((Some(name), refused)),
             Attempt::Next(refused) | Attempt::Full(refused) | Attempt::Refused(refused) => {
                 Err((None, self.with_retry_delay(refused)))
             }
@@ -188,7 +188,7 @@
         let config = self.ctx.config();
         let Some(upstream) = config.upstream(&forward.service, name).cloned() else {
             let detail = "the upstream was removed from the configuration";
-            return Attempt::FailedAttempt(refuse::not_run(
+            return Attempt::Failed(refuse::not_run(
                 Cause::NoUpstream,
                 NO_UPSTREAM_RETRY_MS,
                 detail,
@@ -266,11 +266,11 @@
             Ok(Cause::OverBound) => Attempt::Next(refused),
             Ok(Cause::Full) => Attempt::Full(refused),
             Ok(Cause::NoUpstream | Cause::Draining | Cause::HomeUnreachable) => {
-                Attempt::FailedAttempt(refused)
+                Attempt::Failed(refused)
             }
             Ok(Cause::UpstreamFailed) => {
                 self.placer.failed(forward, name);
-                Attempt::FailedAttempt(refused)
+                Attempt::Failed(refused)
             }
             _ => Attempt::Refused(refused),
         }
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -348,26 +348,26 @@
             self.ctx.run_keys.record(Record::Release(release));
             return;
         }
-        let note = ClaimUpdate {
+        let update = ClaimUpdate {
             release: Some(release),
             ..ClaimUpdate::default()
         };
-        self.link.append_note(&claim.key, note).await;
+        self.link.append_update(&claim.key, update).await;
     }
 
     /// Stores an outcome. A run key's outcome is kept in memory and also goes to the log, preceded by
     /// its claim, so that other routers can answer once this one is gone.
     async fn store_outcome(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
         let key = claim.key.clone();
-        let mut note = ClaimUpdate {
+        let mut update = ClaimUpdate {
             outcome: Some(outcome.clone()),
             ..ClaimUpdate::default()
         };
         if arbiter == Arbiter::Memory {
             self.ctx.run_keys.record(Record::Outcome(outcome));
-            note.claim = Some(claim);
+            update.claim = Some(claim);
         }
-        self.link.append_note(&key, note).await;
+        self.link.append_update(&key, update).await;
     }
 
     fn emit_claim(&self, kind: Kind, claim: &Claim, request_id: &str) {
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -273,13 +273,13 @@
                 return f64::INFINITY;
             }
             // An unknown load is taken as the mean, not as idle.
-            let Some(seen) = self.loads.get(&slots.name) else {
+            let Some(load) = self.loads.get(&slots.name) else {
                 return mean_ms;
             };
             let joined_ms = state.joined_ms.get(&slots.name);
             let age_ms = joined_ms.map_or(u64::MAX, |at| now_ms - at);
-            let work_ms = placement::joined_load_ms(seen.work_ms, mean_ms, age_ms);
-            placement::shown_load_ms(work_ms, slots.free(seen))
+            let work_ms = placement::joined_load_ms(load.work_ms, mean_ms, age_ms);
+            placement::shown_load_ms(work_ms, slots.free(load))
         };
         let load_ms: Vec<f64> = pool.slots.iter().map(effective).collect();
         if load_ms.iter().any(|ms| ms.is_finite()) {
