--- a/src/router.rs
+++ b/src/router.rs
@@ -182,7 +182,7 @@
     let (config_handle, questions) =
         ConfigHandle::spawn(client.clone(), &name, following, events.clone());
     let run_keys = RunKeys::new(&name, Clock::start());
-    let orders = Orders::spawn(orders::Start {
+    let orders = Orders::spawn(orders::Setup {
         log: client.clone(),
         host: name.clone(),
         clock: Clock::start(),
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -208,16 +208,16 @@
         match end {
             CallEnd::Complete => {
                 let fingerprint = suspects::fingerprint(forward);
-                self.suspects.succeeded(fingerprint);
+                self.suspects.clear(fingerprint);
                 Ok(())
             }
             CallEnd::CallerDisconnected => Ok(()),
             CallEnd::Refused => {
-                permit.failed();
+                permit.set_failed();
                 Ok(())
             }
             CallEnd::Interrupted(refused) => {
-                permit.failed();
+                permit.set_failed();
                 let suspects = &self.suspects;
                 Err(suspects
                     .connection_lost(forward, &upstream, suspect, refused)
--- a/src/serve/home/loads.rs
+++ b/src/serve/home/loads.rs
@@ -73,7 +73,7 @@
     }
 
     /// Adds a job that was just sent to `upstream`.
-    pub(crate) fn sent(&self, upstream: &Name, work_ms: f64) {
+    pub(crate) fn record_sent(&self, upstream: &Name, work_ms: f64) {
         self.state.borrow_mut().view.sent(upstream, work_ms);
     }
 
--- a/src/serve/home/messages.rs
+++ b/src/serve/home/messages.rs
@@ -28,7 +28,7 @@
     }
 
     /// Marks the call as failed.
-    pub(crate) fn failed(&mut self) {
+    pub(crate) fn set_failed(&mut self) {
         self.ok = false;
     }
 
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns a request's standing, given the `deaths` counted at other homes on its way here.
+    /// Returns a request's quarantine status, given the `deaths` counted at other homes on its way here.
     pub(crate) fn status(&self, fingerprint: u64, deaths: u32) -> QuarantineStatus {
         self.apply_gossip();
         let now_ms = self.ctx.clock.now_ms();
@@ -140,18 +140,18 @@
         }
         let fingerprint = fingerprint(forward);
         let now_ms = self.ctx.clock.now_ms();
-        let died = |state: &mut State| {
+        let record_death = |state: &mut State| {
             let deaths = state.quarantine.died(fingerprint, sole, now_ms);
             (deaths, state.quarantine.status(fingerprint, now_ms))
         };
-        let (deaths, status) = died(&mut self.state.borrow_mut());
+        let (deaths, status) = record_death(&mut self.state.borrow_mut());
         self.publish(fingerprint, deaths, false);
         refused.deaths = deaths;
         if let QuarantineStatus::Convicted { left_ms } = status {
             self.ctx
                 .events
                 .emit_request(Kind::RequestQuarantined, forward, |e| {
-                    e.detail = format!("{} crashed while running it", at.name);
+                    e.detail = format!("{} crashed while running the request", at.name);
                 });
             self.broadcast_conviction(fingerprint, deaths).await;
             refused.cause = Cause::Quarantined.to_string();
@@ -161,7 +161,7 @@
     }
 
     /// Clears a request that was answered completely.
-    pub(crate) fn succeeded(&self, fingerprint: u64) {
+    pub(crate) fn clear(&self, fingerprint: u64) {
         let quarantine = &mut self.state.borrow_mut().quarantine;
         if quarantine.succeeded(fingerprint) {
             self.publish(fingerprint, 0, true);
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -48,7 +48,7 @@
 }
 
 /// The task's log, clock, and other dependencies.
-pub(crate) struct Start<L> {
+pub(crate) struct Setup<L> {
     pub(crate) log: L,
     pub(crate) host: Name,
     pub(crate) clock: Clock,
@@ -58,16 +58,16 @@
 }
 
 impl Orders {
-    pub(crate) fn spawn<L: Log + 'static>(start: Start<L>) -> Self {
+    pub(crate) fn spawn<L: Log + 'static>(setup: Setup<L>) -> Self {
         let (tx, rx) = mpsc::channel(16);
         // A restarted router is a new holder, so it waits for its predecessor's orders in transit.
-        let holder = format!("{}#{}", start.host, Uuid::now_v7().simple());
+        let holder = format!("{}#{}", setup.host, Uuid::now_v7().simple());
         let task = Task {
-            lessor: Lessor::new(start.log, RealTime::new(start.clock), holder),
-            clock: start.clock,
-            config: start.config,
-            http: start.http,
-            events: start.events,
+            lessor: Lessor::new(setup.log, RealTime::new(setup.clock), holder),
+            clock: setup.clock,
+            config: setup.config,
+            http: setup.http,
+            events: setup.events,
             in_transit_until_ms: HashMap::new(),
         };
         compio::runtime::spawn(task.run(rx)).detach();
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -197,7 +197,7 @@
         self.set_target(forward, name, plan, last);
         let sent = Instant::now();
         let Some((first, rest)) = self.first_frame(forward, &upstream).await else {
-            self.placer.failed(forward, name);
+            self.placer.record_failure(forward, name);
             let refusal = refusal::Refusal::unknown(Cause::UpstreamFailed);
             return Attempt::Refused(refuse::message(
                 &refusal,
@@ -205,9 +205,9 @@
             ));
         };
         match first {
-            Body::Refused(refused) => self.refused(forward, name, refused),
+            Body::Refused(refused) => self.on_refused(forward, name, refused),
             first => {
-                self.started(forward, name, &first, sent);
+                self.on_started(forward, name, &first, sent);
                 Attempt::Started(Started { first, rest })
             }
         }
@@ -228,31 +228,31 @@
         events.emit_request(Kind::RequestPlaced, forward, |_| {});
     }
 
-    fn started(&self, forward: &Forward, name: &Name, first: &Body, sent: Instant) {
+    fn on_started(&self, forward: &Forward, name: &Name, first: &Body, sent: Instant) {
         let Body::Head(head) = first else {
             return;
         };
         match &head.load {
             Some(load) => self.placer.loads.record_reply(name, load),
-            None => self.placer.loads.sent(name, work_ms(forward)),
+            None => self.placer.loads.record_sent(name, work_ms(forward)),
         }
         if head.status >= u32::from(http::StatusCode::INTERNAL_SERVER_ERROR.as_u16()) {
-            self.placer.failed(forward, name);
+            self.placer.record_failure(forward, name);
             return;
         }
         let took_ms = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
-        self.placer.answered(forward, name, took_ms);
+        self.placer.record_answer(forward, name, took_ms);
         if forward.prompt_tokens > 0 {
             self.placer.record_served(forward, name);
         }
     }
 
-    fn refused(&self, forward: &Forward, name: &Name, refused: Refusal) -> Attempt {
+    fn on_refused(&self, forward: &Forward, name: &Name, refused: Refusal) -> Attempt {
         if let Some(load) = &refused.load {
             self.placer.loads.record_reply(name, load);
         }
         if !refuse::surely_not_run(&refused) {
-            self.placer.failed(forward, name);
+            self.placer.record_failure(forward, name);
             return Attempt::Started(Started {
                 first: Body::Refused(refused),
                 rest: mpsc::channel(1).1,
@@ -269,7 +269,7 @@
                 Attempt::Failed(refused)
             }
             Ok(Cause::UpstreamFailed) => {
-                self.placer.failed(forward, name);
+                self.placer.record_failure(forward, name);
                 Attempt::Failed(refused)
             }
             _ => Attempt::Refused(refused),
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -128,7 +128,7 @@
     }
 
     /// Records that `upstream` sent a first frame after `took_ms`.
-    pub(crate) fn answered(&self, forward: &Forward, upstream: &Name, took_ms: u64) {
+    pub(crate) fn record_answer(&self, forward: &Forward, upstream: &Name, took_ms: u64) {
         let (pool, share) = (self.pool(&forward.service), self.eject_share(forward));
         let now_ms = self.ctx.clock.now_ms();
         let names = pool.index.names();
@@ -140,7 +140,7 @@
     }
 
     /// Records that `upstream` failed before its first frame.
-    pub(crate) fn failed(&self, forward: &Forward, upstream: &Name) {
+    pub(crate) fn record_failure(&self, forward: &Forward, upstream: &Name) {
         let (pool, share) = (self.pool(&forward.service), self.eject_share(forward));
         let now_ms = self.ctx.clock.now_ms();
         let names = pool.index.names();
