--- a/src/serve/callers/answers.rs
+++ b/src/serve/callers/answers.rs
@@ -54,7 +54,7 @@
         if !tx.is_closed() {
             tally.ended(false);
         }
-        // The answer ended early: close the connection, so that the caller detects a truncated answer.
+        // The answer ended early: close the connection, so that the caller detects it.
         let _ = tx.send(Err(io::Error::other("answer ended early"))).await;
     })
     .detach();
--- a/src/serve/callers/entry.rs
+++ b/src/serve/callers/entry.rs
@@ -1,4 +1,4 @@
-//! Entry queries: the addresses a caller should use, which are the homes of its chat's first upstreams.
+//! Entry queries: the addresses a caller should use, the homes of its chat's first upstreams.
 //!
 //! Load pattern: there is no load balancer in front, and one account is larger than all others
 //! together. Answers by account would send all its callers to one host. Answers by chat spread them
@@ -22,15 +22,15 @@
 use crate::serve::route::dispatch::Dispatch;
 use crate::util;
 
-/// One address and two fallbacks: if two hosts fail at once, a caller meets at most two short connect
-/// failures. Further addresses would more likely be stale.
+/// One address and two fallbacks: if two hosts fail at once, a caller meets at most two short
+/// connect failures. Further addresses would more likely be stale.
 const ENTRY_ADDRESSES: usize = 3;
 
 #[derive(Serialize)]
 struct EntryReply {
     ttl_ms: u32,
     addresses: Vec<EntryAddress>,
-    /// Prefix for idempotency keys that only the router at `run_addr` runs, even if the log is down.
+    /// Prefix for idempotency keys that the router at `run_addr` runs even if the log is down.
     run_prefix: String,
     run_addr: String,
 }
@@ -114,9 +114,9 @@
     service.or_else(|| config.service_by_path(&entry.path))
 }
 
-/// Returns the addresses for `entry`, best first, each router once. The home of the upstream where the
-/// chat is `warm` comes first: new chats are placed by load, so it may not be the first in the chat's
-/// order.
+/// Returns the addresses for `entry`, best first, each router once. The home of the upstream where
+/// the chat is `warm` comes first: new chats are placed by load, so it may not be the first in the
+/// chat's order.
 pub(crate) fn addresses(
     config: &ConfigView,
     fleet: &View,
--- a/src/serve/callers/entry_tests.rs
+++ b/src/serve/callers/entry_tests.rs
@@ -96,8 +96,8 @@
     assert!(firsts.values().all(|count| *count < 1_000), "{firsts:?}");
 }
 
-/// A leaving host is in no answer, and the first address changes for no other chat: its callers keep
-/// their warm cache.
+/// A leaving host is in no answer, and the first address changes for no other chat: its callers
+/// keep their warm cache.
 #[test]
 fn leaving_host_is_left_out() {
     let (config, before) = (config(), fleet());
@@ -148,8 +148,8 @@
     assert_eq!(found[0].data_center, "dc-2");
 }
 
-/// A new chat was placed by load on another engine than the first of its order and is warm there. Its
-/// callers must be sent to that engine's home; otherwise each of their requests needs a hop.
+/// A new chat was placed by load on another engine than the first of its order and is warm there.
+/// Its callers must be sent to that engine's home; otherwise each of their requests needs a hop.
 #[test]
 fn warm_engine_goes_first() {
     let (config, fleet) = (config(), fleet());
--- a/src/serve/callers/mod.rs
+++ b/src/serve/callers/mod.rs
@@ -1,7 +1,7 @@
 //! The callers' HTTP interface: chats, plain requests and entry queries.
 //!
-//! This module serves the connection, `requests` checks headers, account and body and has the request
-//! routed, and `answers` returns the answer to the caller.
+//! This module serves the connection, `requests` checks headers, account and body and has the
+//! request routed, and `answers` returns the answer to the caller.
 
 pub(crate) mod answers;
 mod chat;
--- a/src/serve/callers/requests.rs
+++ b/src/serve/callers/requests.rs
@@ -260,8 +260,8 @@
     refuse::not_run(cause, 0, error.to_string())
 }
 
-/// Reads and discards the rest of a refused request's body. Closing with unread bytes would reset the
-/// connection before the caller has received the refusal.
+/// Reads and discards the rest of a refused request's body. Closing with unread bytes would reset
+/// the connection before the caller has received the refusal.
 fn discard(mut body: Incoming) {
     if body.is_end_stream() {
         return;
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -121,8 +121,8 @@
         self.call(forward, upstream, suspect, permit, tx).await
     }
 
-    /// Refuses if the upstream takes no new work, according to the configuration, the platform's list
-    /// or its own report. The forwarding router's view may be stale, so the home checks again.
+    /// Refuses if the upstream takes no new work, according to the configuration, the platform's
+    /// list or its own report. The forwarding router's view may be stale, so the home checks again.
     fn check_takes_work(&self, forward: &Forward) -> Result<(), peer::Refusal> {
         let config = self.ctx.config();
         let upstream = config.upstream(&forward.service, &forward.upstream);
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Transfers the cache of a chat that moved here. A failure costs only a prefill, so it is logged
-    /// and ignored.
+    /// Transfers the cache of a chat that moved here. A failure costs only a prefill, so it is
+    /// logged and ignored.
     async fn import_cache(&self, forward: &Forward, to: &Upstream) {
         let config = self.ctx.config();
         let from = config.upstream(&forward.service, &forward.warm_at);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Relays an answer to its caller. An interruption is returned instead, for the quarantine check.
+    /// Relays an answer to its caller. Returns an interruption instead, for the quarantine check.
     async fn relay(
         &self,
         forward: &Forward,
--- a/src/serve/home/limits.rs
+++ b/src/serve/home/limits.rs
@@ -170,8 +170,8 @@
         fleet.members.iter().filter(|m| m.takes_work()).count()
     }
 
-    /// Returns the time to the next report: up to twice as long in a fleet of hundreds of routers, which
-    /// is still within a share's validity.
+    /// Returns the time to the next report: up to twice as long in a fleet of hundreds of routers,
+    /// which is still within a share's validity.
     fn interval(&self) -> Duration {
         let stretch = 1.0 + (self.routers() as f64 / 400.0).min(1.0);
         let jitter = rand::rng().random_range(0.9..1.1);
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Returns a request's quarantine status, given the `deaths` counted at other homes on its way here.
+    /// Returns a request's quarantine status, given the `deaths` counted at other homes on its way
+    /// here.
     pub(crate) fn status(&self, fingerprint: u64, deaths: u32) -> QuarantineStatus {
         self.apply_gossip();
         let now_ms = self.ctx.clock.now_ms();
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Handles a lost connection: counts a death against the request if the upstream is down. Returns
-    /// the refusal for the router that may retry the request.
+    /// Handles a lost connection: counts a death against the request if the upstream is down.
+    /// Returns the refusal for the router that may retry the request.
     ///
     /// A lost connection alone may be a network fault, so the upstream is probed.
     pub(crate) async fn connection_lost(
@@ -178,9 +179,10 @@
 
     /// Sends a conviction to all other routers and waits until each has answered or timed out.
     ///
-    /// Failure guarded against: a caller that is refused first re-sends at once through a router that
-    /// has not received the conviction, which crashes two more engines. Gossip takes a second, longer
-    /// than a caller needs to re-send. Convictions are rare, so direct messages are affordable.
+    /// Failure guarded against: a caller that is refused first re-sends at once through a router
+    /// that has not received the conviction, which crashes two more engines. Gossip takes a second,
+    /// longer than a caller needs to re-send. Convictions are rare, so direct messages are
+    /// affordable.
     async fn broadcast_conviction(&self, fingerprint: u64, deaths: u32) {
         let suspicion = Suspicion {
             fingerprint,
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -256,8 +256,8 @@
         configured.is_none() || home.is_some_and(|home| home.host != self.ctx.host)
     }
 
-    /// Returns the pool's view. A plain service has no load bound: its requests all cost the same, and
-    /// moving them to another upstream gains nothing.
+    /// Returns the pool's view. A plain service has no load bound: its requests all cost the same,
+    /// and moving them to another upstream gains nothing.
     fn pool_view(&self) -> PoolView {
         let mut view = self
             .loads
--- a/src/serve/home/upstream.rs
+++ b/src/serve/home/upstream.rs
@@ -249,8 +249,8 @@
         refuse::message(&Refusal::unknown(Cause::UpstreamFailed), detail)
     }
 
-    /// Returns the refusal for a failed send. Only a failed connection attempt proves that no byte of the
-    /// request was sent.
+    /// Returns the refusal for a failed send. Only a failed connection attempt proves that no byte
+    /// of the request was sent.
     fn send_failed(&self, e: &cyper::Error) -> peer::Refusal {
         let detail = format!("{}: {e}", self.upstream.name);
         let unsent = matches!(e, cyper::Error::HyperClient(inner) if inner.is_connect());
@@ -265,8 +265,8 @@
     refuse::not_run(Cause::BadRequest, 0, e.to_string())
 }
 
-/// Adds the text already delivered as a forced prefix, so that the engine continues it and the answer
-/// never joins two different samplings.
+/// Adds the text already delivered as a forced prefix, so that the engine continues it and the
+/// answer never joins two different samplings.
 fn force_prefix(body: &[u8], delivered: &str) -> Bytes {
     let Ok(mut request) = serde_json::from_slice::<Value>(body) else {
         return Bytes::copy_from_slice(body);
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -1,10 +1,10 @@
 //! Orders to upstreams, under a lease of the upstream.
 //!
 //! An order states the desired state, so it is idempotent. An upstream that checks fencing numbers
-//! refuses a former lease holder's order itself. For one that ignores them, a new holder waits before
-//! its first order for as long as its predecessor's last order may be in transit, and so does a holder
-//! whose own order was not answered. An order delayed longer than the upstream's `longest_pause_ms`
-//! can still be applied out of order.
+//! refuses a former lease holder's order itself. For one that ignores them, a new holder waits
+//! before its first order for as long as its predecessor's last order may be in transit, and so
+//! does a holder whose own order was not answered. An order delayed longer than the upstream's
+//! `longest_pause_ms` can still be applied out of order.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -30,12 +30,12 @@
         Self { ctx, peers }
     }
 
-    /// Claims the key through the router that reads its slot, so that one router reads and groups each
-    /// slot. If that router does not answer, reads the slot here. Either way the log decides.
+    /// Claims the key through the router that reads its slot, so that one router reads and groups
+    /// each slot. If that router does not answer, reads the slot here. Either way the log decides.
     ///
-    /// A claim whose answer was lost is released and replaced by one with a new id. If it were retried
-    /// under the old id, it could be won here while the first reader, which did not find it, releases
-    /// it; a third claim could then run the request a second time.
+    /// A claim whose answer was lost is released and replaced by one with a new id. If it were
+    /// retried under the old id, it could be won here while the first reader, which did not find
+    /// it, releases it; a third claim could then run the request a second time.
     pub(crate) async fn claim(&self, claim: &mut Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         if let Some(addr) = self.reader(&claim.key) {
             let request = ClaimRequest {
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Tries the plan's upstreams in order. The error carries the upstream's name if another plan may
-    /// be tried without it.
+    /// Tries the plan's upstreams in order. The error carries the upstream's name if another plan
+    /// may be tried without it.
     async fn try_plan(
         &self,
         forward: &mut Forward,
--- a/src/serve/route/keys.rs
+++ b/src/serve/route/keys.rs
@@ -16,8 +16,8 @@
 /// Sets the run state of a refusal to unknown, for a key of which an earlier attempt may have run.
 ///
 /// Failure guarded against: a caller whose earlier attempt lost its connection receives "not run",
-/// sends the request again with another key, and it runs twice. This attempt was not run, but the run
-/// state is that of the key.
+/// sends the request again with another key, and it runs twice. This attempt was not run, but the
+/// run state is that of the key.
 pub(crate) fn run_state_unknown(refused: peer::Refusal) -> peer::Refusal {
     peer::Refusal {
         run_state: RunState::Unknown.to_string(),
--- a/src/serve/route/mod.rs
+++ b/src/serve/route/mod.rs
@@ -1,7 +1,7 @@
-//! Routing of requests: choice of upstream and home, retries, and resumption of interrupted answers.
+//! Routing of requests: choice of upstream and home, retries, and resuming interrupted answers.
 //!
 //! `placer` tracks chats and loads and plans the attempts, `dispatch` sends them to the homes,
-//! `resume` completes interrupted answers, `once` runs non-idempotent requests at most once per key.
+//! `resume` completes interrupted answers, `once` runs non-idempotent ones at most once per key.
 
 pub(crate) mod claim_link;
 pub(crate) mod dispatch;
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -129,7 +129,7 @@
         self.start(claim, Arbiter::Log, forward).await
     }
 
-    /// Routes a request with a run key to the incarnation named in it, the only one that may run it.
+    /// Routes a request to the incarnation named in its run key, the only one that may run it.
     async fn route_run_key(
         &self,
         run_key: &RunKey<'_>,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Answers from the outcome that the router named in a run key stored on the log, if there is one.
+    /// Answers with the outcome that the router named in a run key stored on the log, if any.
     async fn outcome_from_log(
         &self,
         at_ms: u64,
@@ -355,8 +355,8 @@
         self.link.append_update(&claim.key, update).await;
     }
 
-    /// Stores an outcome. A run key's outcome is kept in memory and also goes to the log, preceded by
-    /// its claim, so that other routers can answer once this one is gone.
+    /// Stores an outcome. A run key's outcome is kept in memory and also goes to the log, preceded
+    /// by its claim, so that other routers can answer once this one is gone.
     async fn store_outcome(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
         let key = claim.key.clone();
         let mut update = ClaimUpdate {
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Returns the upstream where `chat` was served last, if this router or the chat's entry router has
-    /// a record of it.
+    /// Returns the upstream where `chat` was served last, if this router or the chat's entry router
+    /// has a record of it.
     pub(crate) async fn last_served(&self, service: &str, chat: ChatKey) -> Option<Name> {
         let pool = self.pool(service);
         let forward = Forward {
@@ -204,7 +204,8 @@
         same
     }
 
-    /// Handles another router's lookup or, if `request` names an upstream, update of a chat's location.
+    /// Handles another router's lookup or, if `request` names an upstream, update of a chat's
+    /// location.
     pub(crate) fn handle_warm(&self, request: WarmRequest) -> WarmReply {
         let chats = &mut self.state.borrow_mut().chats;
         let chat = ChatKey(request.chat_key);
@@ -248,8 +249,8 @@
         })
     }
 
-    /// Returns the address of the router that the chat's callers are directed to, the home of its first
-    /// upstream, if it is not this router.
+    /// Returns the address of the router that the chat's callers are directed to, the home of its
+    /// first upstream, if it is not this router.
     fn entry_router(&self, forward: &Forward, pool: &PoolState) -> Option<Name> {
         let first = pool.index.first(ChatKey(forward.chat_key), 1);
         let name = &pool.index.names()[*first.first()?];
--- a/src/serve/route/resume.rs
+++ b/src/serve/route/resume.rs
@@ -24,9 +24,9 @@
 
 const CHANNEL_CAPACITY: usize = 64;
 
-/// How often one answer may be resumed. The quarantine stops a request that crashes its engines long
-/// before; this bounds the work for one that meets a faulty network or engines that answer with
-/// another request's id.
+/// How often one answer may be resumed. The quarantine stops a request that crashes its engines
+/// long before; this bounds the work for one that meets a faulty network or engines that answer
+/// with another request's id.
 const MAX_RESUMES: u32 = 4;
 
 /// Spreads the resumptions of all streams that one engine's failure interrupts at once.
@@ -68,8 +68,8 @@
     }
 }
 
-/// Returns the last attempt's refusal with a run state that holds for all attempts. If an earlier one
-/// may have run, the caller must not receive "not run" only because the last one was not.
+/// Returns the last attempt's refusal with a run state that holds for all attempts. If an earlier
+/// one may have run, the caller must not receive "not run" only because the last one was not.
 fn final_refusal(mut refused: Refusal, may_have_run: bool) -> Refusal {
     if may_have_run && refuse::surely_not_run(&refused) {
         refused.run_state = RunState::Unknown.to_string();
@@ -151,8 +151,8 @@
                 self.record_deaths(refused);
             }
             let mut next = None;
-            // A resumption can fail before its own first chunk, for example when two connections are
-            // reset in a row. It counts, but does not end the answer.
+            // A resumption can fail before its own first chunk, for example when two connections
+            // are reset in a row. It counts, but does not end the answer.
             while next.is_none() && resumes < MAX_RESUMES && self.quarantined.is_none() {
                 resumes += 1;
                 next = self.resume(resumes).await;
@@ -198,8 +198,9 @@
         PartEnd::Interrupted(None)
     }
 
-    /// Returns the next frame, or `None` once the caller has disconnected or the home is dead. A frozen
-    /// home keeps its connections open, so the caller would otherwise wait until its deadline.
+    /// Returns the next frame, or `None` once the caller has disconnected or the home is dead. A
+    /// frozen home keeps its connections open, so the caller would otherwise wait until its
+    /// deadline.
     async fn next(&self, frames: &mut Frames) -> Option<Body> {
         let next = next_wanted(frames, &self.tx);
         let dead = self.ctx.host_dead(&self.home);
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stop: peers and callers are moved to other routers first, then requests in flight finish.
+//! Planned stop: peers and callers move to other routers first, then requests in flight finish.
 
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
     });
 }
 
-/// Returns the time until all routers have received the leave by gossip, after which no entry answer
-/// names this router. Gossip needs a number of rounds logarithmic in the size of the fleet.
+/// Returns the time until all routers have received the leave by gossip, after which no entry
+/// answer names this router. Gossip needs a number of rounds logarithmic in the size of the fleet.
 fn propagation_ms(probe_interval_ms: u32, routers: usize) -> u64 {
     let rounds = u64::from(routers.max(2).ilog2()) + 1;
     u64::from(probe_interval_ms) * rounds
