--- a/src/serve/route/mod.rs
+++ b/src/serve/route/mod.rs
@@ -1,16 +1,15 @@
-//! Where a request of the own dialects goes: which upstream, by whose home, and again where it broke
-//! off.
+//! Routing of requests: choice of upstream and home, retries, and resuming interrupted answers.
 //!
-//! `placer` remembers chats and loads and plans the tries, `dispatch` sends them to the homes,
-//! `resume` keeps a broken answer whole, `once` keeps unrepeatable requests to one run a key.
+//! `placer` tracks chats and loads and plans the attempts, `dispatch` sends them to the homes,
+//! `resume` completes interrupted answers, `once` runs non-idempotent ones at most once per key.
 
 pub(crate) mod claim_link;
 pub(crate) mod dispatch;
-pub(crate) mod kept;
 pub(crate) mod keys;
 pub(crate) mod once;
 pub(crate) mod placer;
 pub(crate) mod resume;
+pub(crate) mod stored_answer;
 pub(crate) mod tokens;
 
 #[cfg(test)]
