--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -28,12 +28,12 @@
 
 impl LeavingTable {
     /// Replaces the upstreams that the platform's host list marks as leaving.
-    pub fn listed(&mut self, names: &[Name]) {
+    pub fn set_listed(&mut self, names: &[Name]) {
         self.listed = names.iter().map(|name| digest(name)).collect();
     }
 
     /// Records whether an upstream reported to this router, its home, that it is leaving.
-    pub fn signalled(&mut self, name: &str, leaving: bool) {
+    pub fn set_signalled(&mut self, name: &str, leaving: bool) {
         if leaving {
             self.signalled.insert(digest(name));
         } else {
--- a/src/fleet/leaving_tests.rs
+++ b/src/fleet/leaving_tests.rs
@@ -15,11 +15,11 @@
     let mut other = LeavingTable::default();
     let set_leaving = |table: &mut LeavingTable, leaving: bool| {
         if by_list && leaving {
-            table.listed(&["engine-1".into()]);
+            table.set_listed(&["engine-1".into()]);
         } else if by_list {
-            table.listed(&[]);
+            table.set_listed(&[]);
         } else {
-            table.signalled("engine-1", leaving);
+            table.set_signalled("engine-1", leaving);
         }
     };
     set_leaving(&mut first, true);
@@ -41,7 +41,7 @@
 #[test]
 fn former_home_drops_the_report() {
     let mut table = LeavingTable::default();
-    table.signalled("engine-1", true);
+    table.set_signalled("engine-1", true);
     table.retain_signals(|_| false);
     assert!(table.known(1_000).is_empty());
 }
--- a/src/fleet/log_reads.rs
+++ b/src/fleet/log_reads.rs
@@ -221,7 +221,8 @@
 ///
 /// ```
 /// use cassiagrade::fleet::log_reads::{Backoff, Freshness, ReadSchedule, Role, read_due};
-/// let (fresh, backoff, schedule) = (Freshness::default(), Backoff::default(), ReadSchedule::within(2_000.0));
+/// let (fresh, backoff) = (Freshness::default(), Backoff::default());
+/// let schedule = ReadSchedule::within(2_000.0);
 /// let due = |is_reader| read_due(Role { is_reader, routers: 9 }, fresh, backoff, schedule, 1);
 /// assert_eq!(due(true).unwrap().as_millis(), 900);
 /// assert_eq!(due(false).unwrap().as_millis(), 0, "nothing is known yet");
--- a/src/fleet/swim/merge.rs
+++ b/src/fleet/swim/merge.rs
@@ -23,7 +23,7 @@
         if incarnation > entry.member.incarnation {
             let state = MemberState::Alive;
             let host = entry.member.host.clone();
-            self.set(&host, incarnation, state, now_ms);
+            self.set_state(&host, incarnation, state, now_ms);
         }
     }
 
@@ -70,7 +70,7 @@
             entry.member.caller_addr = received.caller_addr;
             entry.member.data_center = received.data_center;
         }
-        self.set(&received.host, received.incarnation, received.state, now_ms);
+        self.set_state(&received.host, received.incarnation, received.state, now_ms);
     }
 
     /// Handles a received state of this router that is wrong: refutes it, or steps down if another
@@ -97,7 +97,13 @@
         }
     }
 
-    pub(super) fn set(&mut self, host: &Name, incarnation: u64, state: MemberState, now_ms: u64) {
+    pub(super) fn set_state(
+        &mut self,
+        host: &Name,
+        incarnation: u64,
+        state: MemberState,
+        now_ms: u64,
+    ) {
         let Some(entry) = self.members.get_mut(host) else {
             return;
         };
--- a/src/fleet/swim/mod.rs
+++ b/src/fleet/swim/mod.rs
@@ -1,4 +1,5 @@
-//! Membership by probing, as in SWIM: a state machine without sockets, clock or randomness of its own.
+//! Membership by probing, as in SWIM: a state machine without sockets, clock or randomness of its
+//! own.
 //!
 //! Each round one member is probed: directly, then through others, so that one bad path doesn't
 //! count as a failure of the member. A member that answers neither is suspected and has time to
@@ -70,7 +71,7 @@
 
 /// A message to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Out {
+pub struct Outgoing {
     /// Address of the receiver.
     pub to: SocketAddr,
     /// The host that is expected at that address, if known.
@@ -202,7 +203,7 @@
 
     /// Merges the platform's host list. A host that is new here starts as alive: a wrong entry
     /// costs a few probes, and all routers that read the same list agree at once.
-    pub fn listed(&mut self, hosts: Vec<Listed>, now_ms: u64) {
+    pub fn merge_listed(&mut self, hosts: Vec<Listed>, now_ms: u64) {
         for entry in self.members.values_mut() {
             entry.listed = false;
         }
@@ -233,7 +234,7 @@
     }
 
     /// Ends a planned stop. The returned messages notify a few other routers at once.
-    pub fn finish<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Out> {
+    pub fn finish<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Outgoing> {
         self.set_own_state(MemberState::Dead, now_ms);
         self.random_members(self.policy.relays, None, rng)
             .into_iter()
--- a/src/fleet/swim/probing.rs
+++ b/src/fleet/swim/probing.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::member::MemberState;
 use crate::fleet::swim::entry::Entry;
-use crate::fleet::swim::{Message, Out, Probe, Relay, Swim, SwimPolicy};
+use crate::fleet::swim::{Message, Outgoing, Probe, Relay, Swim, SwimPolicy};
 use crate::util::Name;
 
 /// One probe in this many goes to a dead member, so that the end of a partition is detected.
@@ -17,7 +17,7 @@
 
 impl Swim {
     /// Handles late probes and expired suspicions, and starts the next probe.
-    pub fn tick<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Out> {
+    pub fn tick<R: Rng>(&mut self, now_ms: u64, rng: &mut R) -> Vec<Outgoing> {
         self.detect_pause(now_ms);
         let mut out = Vec::new();
         self.expire_probes(now_ms, rng, &mut out);
@@ -57,7 +57,7 @@
         }
     }
 
-    fn expire_probes<R: Rng>(&mut self, now_ms: u64, rng: &mut R, out: &mut Vec<Out>) {
+    fn expire_probes<R: Rng>(&mut self, now_ms: u64, rng: &mut R, out: &mut Vec<Outgoing>) {
         let SwimPolicy {
             probe_timeout_ms,
             probe_interval_ms,
@@ -84,7 +84,7 @@
             .retain(|_, r| now_ms.saturating_sub(r.sent_ms) < limit_ms);
     }
 
-    fn probe_indirectly<R: Rng>(&mut self, seq: u32, rng: &mut R, out: &mut Vec<Out>) {
+    fn probe_indirectly<R: Rng>(&mut self, seq: u32, rng: &mut R, out: &mut Vec<Outgoing>) {
         let Some(probe) = self.probes.get_mut(&seq) else {
             return;
         };
@@ -104,7 +104,7 @@
     /// Failure guarded against: a host is replaced while a probe of its predecessor is under way,
     /// and the new process is suspected because the old one didn't answer. Any message that came
     /// from the host since the probe was sent proves that it is alive.
-    fn probe_failed(&mut self, probe: &Probe, now_ms: u64, out: &mut Vec<Out>) {
+    fn probe_failed(&mut self, probe: &Probe, now_ms: u64, out: &mut Vec<Outgoing>) {
         let host = &probe.target;
         let Some(entry) = self.members.get_mut(host) else {
             return;
@@ -116,11 +116,11 @@
         match entry.member.state {
             // Known only from the list, it needs no time to refute.
             MemberState::Alive if entry.member.incarnation == 0 => {
-                self.set(host, 0, MemberState::Dead, now_ms);
+                self.set_state(host, 0, MemberState::Dead, now_ms);
             }
             MemberState::Alive => {
                 let incarnation = entry.member.incarnation;
-                self.set(host, incarnation, MemberState::Suspect, now_ms);
+                self.set_state(host, incarnation, MemberState::Suspect, now_ms);
                 // Notifies the suspect, so that it can refute at once.
                 out.extend(self.ping(host, now_ms));
             }
@@ -143,7 +143,7 @@
             .map(|e| (e.member.host.clone(), e.member.incarnation))
             .collect();
         for (host, incarnation) in expired {
-            self.set(&host, incarnation, MemberState::Dead, now_ms);
+            self.set_state(&host, incarnation, MemberState::Dead, now_ms);
         }
     }
 
@@ -209,7 +209,7 @@
             .choose_multiple(rng, n)
     }
 
-    fn probe(&mut self, host: &Name, now_ms: u64) -> Option<Out> {
+    fn probe(&mut self, host: &Name, now_ms: u64) -> Option<Outgoing> {
         let out = self.ping(host, now_ms)?;
         if let Message::Ping { seq, .. } = &out.message {
             let probe = Probe {
@@ -222,14 +222,14 @@
         Some(out)
     }
 
-    pub(super) fn ping(&mut self, host: &Name, _now_ms: u64) -> Option<Out> {
+    pub(super) fn ping(&mut self, host: &Name, _now_ms: u64) -> Option<Outgoing> {
         let seq = self.seq();
         let target = Name::from("");
         self.send(host, Message::Ping { seq, target })
     }
 
-    fn send(&self, host: &Name, message: Message) -> Option<Out> {
-        Some(Out {
+    fn send(&self, host: &Name, message: Message) -> Option<Outgoing> {
+        Some(Outgoing {
             to: self.members.get(host)?.addr?,
             host: Some(host.clone()),
             message,
@@ -242,11 +242,11 @@
     }
 
     /// Handles one message from `from`, after [`Swim::record_contact`] and [`Swim::merge`].
-    pub fn receive(&mut self, from: SocketAddr, message: Message, now_ms: u64) -> Vec<Out> {
+    pub fn receive(&mut self, from: SocketAddr, message: Message, now_ms: u64) -> Vec<Outgoing> {
         match message {
             Message::Ping { seq, target } if target.is_empty() || target == self.me => {
                 let host = self.me.clone();
-                vec![Out {
+                vec![Outgoing {
                     to: from,
                     host: None,
                     message: Message::Ack { seq, host },
@@ -270,7 +270,7 @@
         }
     }
 
-    fn acked(&mut self, seq: u32, host: Name, now_ms: u64) -> Vec<Out> {
+    fn acked(&mut self, seq: u32, host: Name, now_ms: u64) -> Vec<Outgoing> {
         // An answer of another host at the target's address proves nothing about the target.
         if self.probes.get(&seq).is_some_and(|p| p.target == host) {
             self.probes.remove(&seq);
@@ -281,7 +281,7 @@
             }
         }
         match self.relays.remove(&seq) {
-            Some(relay) => vec![Out {
+            Some(relay) => vec![Outgoing {
                 to: relay.requester,
                 host: None,
                 message: Message::Ack {
--- a/src/gen/peer.rs
+++ b/src/gen/peer.rs
@@ -492,7 +492,7 @@
     #[prost(message, repeated, tag = "1")]
     pub shares: ::prost::alloc::vec::Vec<AccountShare>,
 }
-/// Asks the router that callers with this chat are sent to where the chat was last served; with an
+/// Asks where a chat was last served, at the router that callers with this chat are sent to. With an
 /// upstream, records it there.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
--- a/src/peers/client.rs
+++ b/src/peers/client.rs
@@ -19,7 +19,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::sync::mpsc;
 
-use super::{CHANNEL, FORWARD, kind};
+use super::{FORWARD, FRAME_CHANNEL_CAPACITY, kind};
 use crate::decide::refusal::{Cause, Refusal};
 use crate::event::Events;
 use crate::peers::frames::{self, Decoder, FrameError};
@@ -70,7 +70,7 @@
 
     /// Forwards a request to the router at `addr` and returns the frames of the answer.
     pub(crate) async fn forward(&self, addr: &Name, forward: &Forward) -> Frames {
-        let (tx, rx) = mpsc::channel(CHANNEL);
+        let (tx, rx) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
         let this = self.clone();
         let addr = addr.clone();
         let forward = forward.clone();
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -35,4 +35,4 @@
 }
 
 /// Number of frames that may wait between a stream and its task.
-pub(crate) const CHANNEL: usize = 64;
+pub(crate) const FRAME_CHANNEL_CAPACITY: usize = 64;
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -43,7 +43,7 @@
 const FREE_PORT_TRIES: usize = 64;
 
 /// Parameters of [`Probes::spawn`].
-pub(crate) struct Start {
+pub(crate) struct Options {
     pub(crate) socket: UdpSocket,
     pub(crate) fleet_key: String,
     pub(crate) me: Member,
@@ -62,21 +62,21 @@
 
 impl Probes {
     /// Starts the membership task on the current runtime.
-    pub(crate) fn spawn(start: Start) -> Self {
+    pub(crate) fn spawn(options: Options) -> Self {
         let (gossip, rx, senders) = Gossip::open();
-        let auth = DatagramAuth::new(&start.fleet_key);
-        let listener = listen(start.socket.clone(), auth.clone(), gossip.clone());
+        let auth = DatagramAuth::new(&options.fleet_key);
+        let listener = listen(options.socket.clone(), auth.clone(), gossip.clone());
         compio::runtime::spawn(listener).detach();
-        let now_ms = start.clock.now_ms();
+        let now_ms = options.clock.now_ms();
         let liveness = Liveness {
-            limit_ms: start.policy.suspicion_ms,
+            limit_ms: options.policy.suspicion_ms,
             ..Liveness::default()
         };
         liveness.last_run_ms.set(now_ms);
-        let swim = Swim::new(start.me, start.policy, now_ms);
+        let swim = Swim::new(options.me, options.policy, now_ms);
         let (view_tx, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
-            socket: start.socket,
+            socket: options.socket,
             auth,
             swim,
             loads: LoadTable::default(),
@@ -85,9 +85,9 @@
             in_flight: InFlightTable::default(),
             in_flight_seq: 0,
             names: HashMap::new(),
-            config: start.config,
-            clock: start.clock,
-            events: start.events,
+            config: options.config,
+            clock: options.clock,
+            events: options.events,
             rng: SmallRng::from_os_rng(),
             view_tx,
             senders,
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -21,7 +21,7 @@
 use crate::fleet::loads::{self, LoadTable};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::fleet::suspects::SuspectTable;
-use crate::fleet::swim::{Message, Out, Swim};
+use crate::fleet::swim::{Message, Outgoing, Swim};
 use crate::log::view::ConfigView;
 use crate::peers::frames;
 use crate::peers::probes::auth::{DatagramAuth, TAG_BYTES};
@@ -132,12 +132,12 @@
                 self.suspect(&[suspicion], now_ms)
             }
             GossipCommand::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
-                self.leaving.signalled(&upstream, leaving);
+                self.leaving.set_signalled(&upstream, leaving);
             }
             GossipCommand::Datagram(from, body) => self.receive(from, *body, now_ms).await,
             GossipCommand::Listed(hosts, leaving) => {
-                self.swim.listed(hosts, now_ms);
-                self.leaving.listed(&leaving);
+                self.swim.merge_listed(hosts, now_ms);
+                self.leaving.set_listed(&leaving);
             }
             GossipCommand::MembersReceived(members) => self.swim.merge_full_list(members, now_ms),
             GossipCommand::Members(reply) => {
@@ -339,13 +339,13 @@
         }
     }
 
-    async fn send_all(&mut self, out: Vec<Out>) {
+    async fn send_all(&mut self, out: Vec<Outgoing>) {
         for out in out {
             self.send(out).await;
         }
     }
 
-    async fn send(&mut self, out: Out) {
+    async fn send(&mut self, out: Outgoing) {
         let mut gossip = self.gossip(out.host.as_ref());
         let body = loop {
             let body = body(&out.message, gossip.clone());
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -60,7 +60,7 @@
         // The project's own configuration log isn't used on this platform.
         let (_, config) = watch::channel(Arc::new(ConfigView::default()));
         let events = Events::open(me.host.clone(), me.data_center.clone(), outputs.events);
-        let probes = Probes::spawn(probes::Start {
+        let probes = Probes::spawn(probes::Options {
             socket,
             policy: swim_policy(&policy),
             fleet_key: policy.key.clone(),
--- a/src/router.rs
+++ b/src/router.rs
@@ -205,7 +205,7 @@
     };
     let clock = Clock::start();
     let fleet = settings.fleet.clone().unwrap_or_default();
-    let probes = Probes::spawn(probes::Start {
+    let probes = Probes::spawn(probes::Options {
         socket,
         policy: swim_policy(&fleet),
         fleet_key: fleet.key,
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -15,7 +15,9 @@
 use crate::front::body::{Answer, next_wanted};
 use crate::peers::frames::{self, Decoder};
 use crate::peers::server::{self, PeerHandler, reply, status};
-use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
+use crate::peers::{
+    CONFIG, CONVICTED, DEMAND, FORWARD, FRAME_CHANNEL_CAPACITY, Frames, MEMBERS, WARM, refuse,
+};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
 use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, give_claim, take_note};
@@ -104,7 +106,7 @@
 }
 
 fn encode_all(request_id: String, mut frames: Frames, events: Events) -> Answer {
-    let (tx, rx) = mpsc::channel(CHANNEL);
+    let (tx, rx) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
     compio::runtime::spawn(async move {
         while let Some(body) = next_wanted(&mut frames, &tx).await {
             let chunk = matches!(body, Body::Chunk(_));
--- a/tests/support/net.rs
+++ b/tests/support/net.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 
 use cassiagrade::fleet::member::{Member, MemberState};
-use cassiagrade::fleet::swim::{Listed, Message, Out, Swim, SwimPolicy};
+use cassiagrade::fleet::swim::{Listed, Message, Outgoing, Swim, SwimPolicy};
 
 const TICK_MS: u64 = 50;
 const MAX_MEMBERS: usize = 2;
@@ -93,7 +93,7 @@
             leaving: false,
         });
         let now_ms = self.now_ms;
-        self.nodes[i].swim.listed(hosts.collect(), now_ms);
+        self.nodes[i].swim.merge_listed(hosts.collect(), now_ms);
     }
 
     /// The host of node `i` is replaced by another process under the same name and address.
@@ -136,8 +136,8 @@
         }
     }
 
-    pub(crate) fn send(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, host, message } in out {
+    pub(crate) fn send(&mut self, from: usize, out: Vec<Outgoing>) {
+        for Outgoing { to, host, message } in out {
             let swim = &mut self.nodes[from].swim;
             let rumours = swim.updates_for(host.as_ref(), MAX_MEMBERS, &mut self.rng);
             let incarnation = swim.me().incarnation;
