--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -262,7 +262,7 @@
         let mean_ms = self.loads.pool_view(&pool.slots, None).mean_work_ms;
         let state = &mut *self.state.borrow_mut();
         let shown = |slots: &Slots| {
-            if is_barred(slots) || state.ejector.is_out(&slots.name, now_ms) {
+            if is_barred(slots) || state.ejector.is_ejected(&slots.name, now_ms) {
                 return f64::INFINITY;
             }
             // Unknown isn't idle.
@@ -335,7 +335,7 @@
             Change::Ejected => Kind::UpstreamEjected,
             Change::Restored => Kind::UpstreamRestored,
         };
-        let (failures, mean_ms) = self.state.borrow().ejector.grounds(upstream);
+        let (failures, mean_ms) = self.state.borrow().ejector.evidence(upstream);
         self.ctx.events.emit(kind, |e| {
             e.upstream = upstream.to_string();
             e.detail =
