--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -15,7 +15,9 @@
 use crate::front::body::{Answer, next_wanted};
 use crate::peers::frames::{self, Decoder};
 use crate::peers::server::{self, PeerHandler, reply, status};
-use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
+use crate::peers::{
+    CONFIG, CONVICTED, DEMAND, FORWARD, FRAME_CHANNEL_CAPACITY, Frames, MEMBERS, WARM, refuse,
+};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
 use crate::serve::route::claim_link::{CLAIM, CLAIM_UPDATE, handle_claim, handle_update};
@@ -119,7 +121,7 @@
 }
 
 fn encode_frames(request_id: String, mut frames: Frames, events: Events) -> Answer {
-    let (tx, rx) = mpsc::channel(CHANNEL);
+    let (tx, rx) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
     compio::runtime::spawn(async move {
         while let Some(body) = next_wanted(&mut frames, &tx).await {
             let chunk = matches!(body, Body::Chunk(_));
