--- a/benches/path/fleet.rs
+++ b/benches/path/fleet.rs
@@ -68,7 +68,7 @@
         let platform = on_thread(async || {
             let platform = Platform::bind(addr(250, STANDIN_PORT)).await.unwrap();
             for (i, data_center) in [(1, HOME), (2, "south")] {
-                platform.list_host(host(i, data_center));
+                platform.add_host(host(i, data_center));
             }
             platform.addr
         });
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -51,7 +51,7 @@
         admin_addr: free_addr()?,
         ..cassiagrade::config::defaults().listen.unwrap_or_default()
     };
-    platform.list_host(Host {
+    platform.add_host(Host {
         name: format!("router-{i}"),
         data_center: "here".to_owned(),
         caller_addr: listen.caller_addr.clone(),
--- a/examples/standins.rs
+++ b/examples/standins.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own; tests start it from here.
+//! Runs one stand-in as a separate process; tests start this program.
 
 fn main() -> std::io::Result<()> {
     standins::cli::main()
--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -1,5 +1,5 @@
-//! An upstream that speaks the users' platform's dialect, in bytes of its own, so that it can also
-//! answer what no library would.
+//! An upstream that speaks the users' platform's dialect of HTTP/1.1. It writes its responses byte
+//! by byte, because an HTTP library would refuse to send the malformed ones.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,110 +17,110 @@
 use crate::http::{post, print_run};
 
 const BUFFER_BYTES: usize = 16 << 10;
-/// Pause between two entries at the store.
-const BEAT: Duration = Duration::from_millis(300);
+/// Interval at which an upstream publishes its entry to the store.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Faults a test can set.
+/// Faults that a test can set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Time a call takes; between two events of a stream.
+    /// Duration of a request, or the interval between two events of a stream.
     pub delay_ms: u64,
-    /// How the next answers are spoilt.
-    pub spoil: Spoil,
-    /// How many.
+    /// Fault applied to the next responses.
+    pub spoil: ResponseFault,
+    /// Number of responses that get the fault.
     pub spoilt: u32,
-    /// A body that holds this text kills the process, after the run is printed.
+    /// A request whose body contains this text aborts the process, after its run is printed.
     pub crash_marker: String,
-    /// It says that it is leaving.
+    /// Publishes its state as draining.
     pub draining: bool,
-    /// It says nothing to the store.
+    /// Publishes nothing to the store.
     pub mute: bool,
 }
 
-/// How an answer is spoilt. In all but the first two the request has run.
+/// A fault in a response. The request has run in all cases but the first two.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Spoil {
-    /// Not at all.
+pub enum ResponseFault {
+    /// No fault.
     #[default]
     None,
-    /// 503 that says that the request didn't run.
+    /// 503 with the header that marks the request as not executed.
     Reject,
-    /// 500 of its own.
+    /// 500 from the upstream itself.
     Fail,
-    /// The connection is cut before the answer.
+    /// Closes the connection before the response.
     Cut,
-    /// Cut in the middle of the body.
+    /// Closes the connection in the middle of the body.
     Half,
-    /// A second answer follows at once.
+    /// Sends a second response immediately after the first.
     Extra,
-    /// Bytes that are no answer.
+    /// Sends bytes that are not an HTTP response.
     Garbage,
-    /// The answer names another request.
+    /// The response carries the id of another request.
     Crossed,
-    /// A success without proof.
+    /// 200 without the upstream's signature and load headers.
     Unproved,
-    /// No length: the answer ends with its connection.
+    /// No content length: the end of the connection ends the response.
     Unframed,
-    /// Nothing ever comes.
+    /// Never responds.
     Silent,
 }
 
-/// One run of a request, printed before it is answered.
+/// One execution of a request, printed before the response is sent.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Run {
-    /// The incarnation that ran it.
+    /// Id of the incarnation that ran the request.
     pub upstream: String,
-    /// The caller's id of the request.
+    /// Id that the caller gave the request.
     pub request_id: String,
-    /// The account that it was told.
+    /// Account named by the router.
     pub account: String,
-    /// What was asked.
+    /// Request target.
     pub target: String,
-    /// The body.
+    /// Request body.
     pub body: String,
-    /// The event after which it went on; 0 if from the start.
+    /// Event after which the stream resumed; 0 if it began at the start.
     pub after: u64,
-    /// Whether the caller's key came with it.
+    /// Whether the request still carried the caller's key.
     pub had_key: bool,
 }
 
-/// What an upstream is.
+/// Configuration of an upstream.
 #[derive(Clone, Debug)]
-pub struct Identity {
-    /// Its service.
+pub struct BackendConfig {
+    /// Service that the upstream belongs to.
     pub service: String,
-    /// Its data centre.
+    /// Data centre that it runs in.
     pub data_center: String,
-    /// Where its store is.
+    /// Address of the store that it publishes its entry to.
     pub store: SocketAddr,
-    /// Requests that it runs at once; more are rejected.
+    /// Maximum number of concurrent requests; further ones are rejected.
     pub slots: u32,
 }
 
 /// A running upstream.
 pub struct Backend {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
 struct Server {
     id: String,
-    identity: Identity,
+    config: BackendConfig,
     addr: SocketAddr,
     knobs: RefCell<Knobs>,
     running: Cell<u32>,
 }
 
-struct Asked {
+struct ParsedRequest {
     method: String,
     target: String,
     headers: Vec<(String, String)>,
     body: String,
 }
 
-impl Asked {
+impl ParsedRequest {
     fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map_or("", |(_, v)| v)
@@ -128,23 +128,23 @@
 }
 
 impl Backend {
-    /// Starts an upstream on the current runtime; it writes itself to the store.
+    /// Starts an upstream on the current runtime; it publishes its entry to the store.
     ///
     /// # Errors
-    /// When `addr` can't be listened on.
-    pub async fn bind(addr: SocketAddr, identity: Identity) -> io::Result<Self> {
+    /// Fails if `addr` can't be listened on.
+    pub async fn bind(addr: SocketAddr, config: BackendConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
         let started = SystemTime::now().duration_since(UNIX_EPOCH);
         let id = id(addr, started.unwrap_or_default());
         let server = Rc::new(Server {
             id,
-            identity,
+            config,
             addr,
             knobs: RefCell::default(),
             running: Cell::default(),
         });
-        compio::runtime::spawn(server.clone().beat()).detach();
+        compio::runtime::spawn(server.clone().publish_entries()).detach();
         compio::runtime::spawn(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
@@ -157,21 +157,22 @@
     }
 }
 
-/// The id of an incarnation: no other has it.
+/// Returns the unique id of an incarnation.
 ///
-/// Failure guarded against: upstreams of a test differ by IP number and share their port. Two that start within one
-/// microsecond had one id, wrote over one another's entry, and routers knew one upstream too few for good.
+/// The id contains the IP address, because the upstreams of a test share one port: without it, two
+/// that start within one microsecond get the same id and overwrite each other's entry in the store,
+/// so that routers never see one of them.
 fn id(addr: SocketAddr, started: Duration) -> String {
     format!("{}{}", id_prefix(addr), started.as_micros())
 }
 
-/// How the ids of all incarnations at `addr` begin.
+/// Returns the prefix shared by the ids of all incarnations at `addr`.
 pub fn id_prefix(addr: SocketAddr) -> String {
     let ip = addr.ip().to_string().replace(['.', ':'], "-");
     format!("i-{ip}-{}-", addr.port())
 }
 
-/// One record of the store: its length, the key's length, key and value.
+/// Encodes a record of the store: record length, key length, key and value.
 pub fn record(key: &str, value: &str) -> Vec<u8> {
     let mut record = BytesMut::new();
     record.put_u32(u32::try_from(1 + key.len() + value.len()).unwrap_or_default());
@@ -182,7 +183,7 @@
 }
 
 impl Server {
-    async fn beat(self: Rc<Self>) {
+    async fn publish_entries(self: Rc<Self>) {
         loop {
             let (draining, mute) = {
                 let knobs = self.knobs.borrow();
@@ -190,147 +191,174 @@
             };
             if !mute {
                 let entry = json!({
-                    "service": self.identity.service,
+                    "service": self.config.service,
                     "address": self.addr.to_string(),
-                    "zone": self.identity.data_center,
+                    "zone": self.config.data_center,
                     "version": "v1",
-                    "slots": self.identity.slots,
+                    "slots": self.config.slots,
                     "state": if draining { "draining" } else { "ready" },
                     "cold_remaining_ms": 0,
                 });
-                let store = self.identity.store;
+                let store = self.config.store;
                 let url = format!("http://{store}/log-append?stream_name=keyed.servers&part=0");
                 let body = record(&self.id, &entry.to_string());
-                // The store may be away; the next entry makes it good.
-                let _ = compio::time::timeout(BEAT, post(&url, body)).await;
+                // If the store is unavailable, the next publication makes up for it.
+                let _ = compio::time::timeout(PUBLISH_INTERVAL, post(&url, body)).await;
             }
-            compio::time::sleep(BEAT).await;
+            compio::time::sleep(PUBLISH_INTERVAL).await;
         }
     }
 
     async fn connection(self: Rc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut held = BytesMut::new();
-        while let Some(asked) = read(&mut stream, &mut held).await {
-            if !self.answer(&mut stream, &asked).await {
+        let mut buffer = BytesMut::new();
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            if !self.answer(&mut stream, &request).await {
                 return;
             }
         }
     }
 
-    /// Answers one request; `false` closes the connection.
-    async fn answer(&self, stream: &mut TcpStream, asked: &Asked) -> bool {
-        if asked.method == "POST" && asked.target == "/knobs" {
-            let good = serde_json::from_str(&asked.body).map(|knobs| {
+    /// Answers one request; returns whether the connection stays open.
+    async fn answer(&self, stream: &mut TcpStream, request: &ParsedRequest) -> bool {
+        if request.method == "POST" && request.target == "/knobs" {
+            let parsed = serde_json::from_str(&request.body).map(|knobs| {
                 *self.knobs.borrow_mut() = knobs;
             });
-            let status = if good.is_ok() {
+            let status = if parsed.is_ok() {
                 "200 OK"
             } else {
                 "400 Bad Request"
             };
-            return send(stream, &whole(status, "", "")).await;
+            return send(stream, &format_response(status, "", "")).await;
         }
-        let meant = asked.header("target-instance");
-        if !meant.is_empty() && meant != self.id {
+        let target_instance = request.header("target-instance");
+        if !target_instance.is_empty() && target_instance != self.id {
             let head = format!("instance-id: {}\r\n", self.id);
-            return send(stream, &whole("421 Misdirected Request", &head, "")).await;
+            return send(
+                stream,
+                &format_response("421 Misdirected Request", &head, ""),
+            )
+            .await;
         }
-        let spoil = self.take_spoil();
-        if spoil == Spoil::Reject || self.running.get() >= self.identity.slots {
+        let fault = self.take_fault();
+        if fault == ResponseFault::Reject || self.running.get() >= self.config.slots {
             let head = format!(
                 "not-executed: 1\r\nattempt-id: {}\r\n",
-                asked.header("attempt-id")
+                request.header("attempt-id")
             );
-            return send(stream, &whole("503 Service Unavailable", &head, "")).await;
+            return send(
+                stream,
+                &format_response("503 Service Unavailable", &head, ""),
+            )
+            .await;
         }
         self.running.set(self.running.get() + 1);
-        let goes_on = self.run(stream, asked, spoil).await;
+        let keep_open = self.run(stream, request, fault).await;
         self.running.set(self.running.get() - 1);
-        goes_on
+        keep_open
     }
 
-    fn take_spoil(&self) -> Spoil {
+    fn take_fault(&self) -> ResponseFault {
         let mut knobs = self.knobs.borrow_mut();
         if knobs.spoilt == 0 {
-            return Spoil::None;
+            return ResponseFault::None;
         }
         knobs.spoilt -= 1;
         knobs.spoil
     }
 
-    async fn run(&self, stream: &mut TcpStream, asked: &Asked, spoil: Spoil) -> bool {
-        let after = asked.header("last-event-id").parse().unwrap_or(0);
+    async fn run(
+        &self,
+        stream: &mut TcpStream,
+        request: &ParsedRequest,
+        fault: ResponseFault,
+    ) -> bool {
+        let after = request.header("last-event-id").parse().unwrap_or(0);
         print_run(&Run {
             upstream: self.id.clone(),
-            request_id: asked.header("attempt-id").to_owned(),
-            account: asked.header("tenant-id").to_owned(),
-            target: asked.target.clone(),
-            body: asked.body.clone(),
+            request_id: request.header("attempt-id").to_owned(),
+            account: request.header("tenant-id").to_owned(),
+            target: request.target.clone(),
+            body: request.body.clone(),
             after,
-            had_key: !asked.header("authorization").is_empty(),
+            had_key: !request.header("authorization").is_empty(),
         });
         let knobs = self.knobs.borrow().clone();
-        if !knobs.crash_marker.is_empty() && asked.body.contains(&knobs.crash_marker) {
+        if !knobs.crash_marker.is_empty() && request.body.contains(&knobs.crash_marker) {
             std::process::abort();
         }
         let delay = Duration::from_millis(knobs.delay_ms);
-        if asked.target.contains("/stream") {
-            return self.stream(stream, asked, after, delay, spoil).await;
+        if request.target.contains("/stream") {
+            return self.stream(stream, request, after, delay, fault).await;
         }
         compio::time::sleep(delay).await;
-        let id = asked.header("attempt-id");
-        let body = json!({ "request_id": id, "echo": asked.body }).to_string();
-        let head = self.head(id);
-        match spoil {
-            Spoil::None | Spoil::Reject => send(stream, &whole("200 OK", &head, &body)).await,
-            Spoil::Fail => send(stream, &whole("500 Internal Server Error", &head, "")).await,
-            Spoil::Cut => false,
-            Spoil::Half => {
-                let text = whole("200 OK", &head, &body);
+        let id = request.header("attempt-id");
+        let body = json!({ "request_id": id, "echo": request.body }).to_string();
+        let head = self.response_headers(id);
+        match fault {
+            ResponseFault::None | ResponseFault::Reject => {
+                send(stream, &format_response("200 OK", &head, &body)).await
+            }
+            ResponseFault::Fail => {
+                send(
+                    stream,
+                    &format_response("500 Internal Server Error", &head, ""),
+                )
+                .await
+            }
+            ResponseFault::Cut => false,
+            ResponseFault::Half => {
+                let text = format_response("200 OK", &head, &body);
                 send(stream, &text[..text.len() - body.len() / 2]).await;
                 false
             }
-            Spoil::Extra => {
-                let text = whole("200 OK", &head, &body);
+            ResponseFault::Extra => {
+                let text = format_response("200 OK", &head, &body);
                 send(stream, &format!("{text}{text}")).await
             }
-            Spoil::Garbage => send(stream, "\u{1}\u{2} no answer at all\r\n\r\n").await,
-            Spoil::Crossed => send(stream, &whole("200 OK", &self.head("another"), &body)).await,
-            Spoil::Unproved => {
+            ResponseFault::Garbage => send(stream, "\u{1}\u{2} no answer at all\r\n\r\n").await,
+            ResponseFault::Crossed => {
+                send(
+                    stream,
+                    &format_response("200 OK", &self.response_headers("another"), &body),
+                )
+                .await
+            }
+            ResponseFault::Unproved => {
                 let head = format!("attempt-id: {id}\r\n");
-                send(stream, &whole("200 OK", &head, &body)).await
+                send(stream, &format_response("200 OK", &head, &body)).await
             }
-            Spoil::Unframed => {
+            ResponseFault::Unframed => {
                 send(stream, &format!("HTTP/1.1 200 OK\r\n{head}\r\n{body}")).await;
                 false
             }
-            Spoil::Silent => std::future::pending().await,
+            ResponseFault::Silent => std::future::pending().await,
         }
     }
 
-    fn head(&self, request_id: &str) -> String {
+    fn response_headers(&self, request_id: &str) -> String {
         format!(
             "attempt-id: {request_id}\r\nserver-signature: {}\r\ninstance-load: {},0,{}\r\n",
             self.id,
             self.running.get(),
-            self.identity.slots
+            self.config.slots
         )
     }
 
-    /// Events until the number that the body names, each with the request's id.
+    /// Streams events up to the number given in the body, each with its id.
     async fn stream(
         &self,
         stream: &mut TcpStream,
-        asked: &Asked,
+        request: &ParsedRequest,
         after: u64,
         delay: Duration,
-        spoil: Spoil,
+        fault: ResponseFault,
     ) -> bool {
-        let id = asked.header("attempt-id");
-        let last: u64 = asked.body.trim().parse().unwrap_or(5);
-        let breaks_at = (after + last) / 2;
-        let head = self.head(id);
+        let id = request.header("attempt-id");
+        let last: u64 = request.body.trim().parse().unwrap_or(5);
+        let break_after = (after + last) / 2;
+        let head = self.response_headers(id);
         let text = format!(
             "HTTP/1.1 200 OK\r\n{head}content-type: text/event-stream\r\n\
              transfer-encoding: chunked\r\n\r\n"
@@ -341,12 +369,12 @@
         for event in after + 1..=last {
             compio::time::sleep(delay).await;
             let text = format!("id: {event}\ndata: {event} of {last}\n\n");
-            if spoil == Spoil::Half && event > breaks_at {
-                // In mid-event, as a crash does.
+            if fault == ResponseFault::Half && event > break_after {
+                // Ends in the middle of an event, as after a crash.
                 send(stream, &chunk(&text[..text.len() / 2])).await;
                 return false;
             }
-            if spoil == Spoil::Silent && event > breaks_at {
+            if fault == ResponseFault::Silent && event > break_after {
                 std::future::pending::<()>().await;
             }
             if !send(stream, &chunk(&text)).await {
@@ -361,7 +389,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-fn whole(status: &str, head: &str, body: &str) -> String {
+fn format_response(status: &str, head: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{head}content-length: {}\r\nkeep-alive: timeout=5\r\n\r\n{body}",
         body.len()
@@ -372,17 +400,17 @@
     stream.write_all(text.as_bytes().to_vec()).await.0.is_ok()
 }
 
-/// The next request, or `None` when the connection ends.
-async fn read(stream: &mut TcpStream, held: &mut BytesMut) -> Option<Asked> {
+/// Reads the next request; returns `None` when the connection ends.
+async fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<ParsedRequest> {
     const END: &[u8] = b"\r\n\r\n";
     let head_bytes = loop {
-        if let Some(at) = held.windows(END.len()).position(|w| w == END) {
+        if let Some(at) = buffer.windows(END.len()).position(|w| w == END) {
             break at + END.len();
         }
-        fill(stream, held).await?;
+        fill_buffer(stream, buffer).await?;
     };
-    let head = String::from_utf8_lossy(&held[..head_bytes]).into_owned();
-    held.advance(head_bytes);
+    let head = String::from_utf8_lossy(&buffer[..head_bytes]).into_owned();
+    buffer.advance(head_bytes);
     let mut lines = head.lines();
     let mut words = lines.next()?.split(' ');
     let (method, target) = (words.next()?.to_owned(), words.next()?.to_owned());
@@ -392,11 +420,11 @@
         .collect();
     let length = headers.iter().find(|(n, _)| n == "content-length");
     let length: usize = length.map_or(Some(0), |(_, v)| v.parse().ok())?;
-    while held.len() < length {
-        fill(stream, held).await?;
+    while buffer.len() < length {
+        fill_buffer(stream, buffer).await?;
     }
-    let body = held.split_to(length);
-    Some(Asked {
+    let body = buffer.split_to(length);
+    Some(ParsedRequest {
         method,
         target,
         headers,
@@ -404,10 +432,10 @@
     })
 }
 
-async fn fill(stream: &mut TcpStream, held: &mut BytesMut) -> Option<()> {
+async fn fill_buffer(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<()> {
     let BufResult(read, bytes) = stream.read(Vec::with_capacity(BUFFER_BYTES)).await;
     let read = read.ok().filter(|n| *n > 0)?;
-    held.extend_from_slice(&bytes[..read]);
+    buffer.extend_from_slice(&bytes[..read]);
     Some(())
 }
 
--- a/standins/src/backend_tests.rs
+++ b/standins/src/backend_tests.rs
@@ -2,8 +2,8 @@
 
 use super::id;
 
-/// Two upstreams start within the same microsecond on hosts of their own, at the same port. With one id for both,
-/// they write over one another's entry, and routers wait for an upstream that never comes.
+/// Two upstreams that start within one microsecond on different hosts, at the same port, must not
+/// share an id: they would overwrite each other's entry in the store.
 #[test]
 fn upstreams_of_one_microsecond_have_two_ids() {
     let started = Duration::from_micros(1_760_000_000_123_456);
--- a/standins/src/cli.rs
+++ b/standins/src/cli.rs
@@ -1,11 +1,11 @@
-//! `standins platform|engine|plain|relay`: runs one stand-in as a process of its own.
+//! `standins platform|engine|plain|relay|keyed|backend`: runs one stand-in as a separate process.
 
 use std::io;
 use std::net::SocketAddr;
 
 use bpaf::Bpaf;
 
-use crate::backend::{Backend, Identity};
+use crate::backend::{Backend, BackendConfig};
 use crate::engine::{self, Engine};
 use crate::keyed::Keyed;
 use crate::plain::{self, Plain};
@@ -16,69 +16,69 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 pub enum Command {
-    /// The log, the list of hosts and the weight store
+    /// The platform: log, host list and weight store
     #[bpaf(command)]
     Platform {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
     /// A model engine
     #[bpaf(command)]
     Engine {
-        /// Its knobs, as JSON
+        /// Initial knobs, as JSON
         #[bpaf(short, long, argument("JSON"), optional)]
         knobs: Option<String>,
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
-    /// A TCP relay with faults
+    /// A TCP relay with fault injection
     #[bpaf(command)]
     Relay {
-        /// Where connections go
+        /// Address that connections are relayed to
         #[bpaf(short, long, argument("ADDR"))]
         target: SocketAddr,
-        /// Where its knobs are set
+        /// Address at which the knobs are set
         #[bpaf(short, long, argument("ADDR"))]
         control: SocketAddr,
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
     /// A store that keeps the newest record of each key
     #[bpaf(command)]
     Keyed {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
     /// An upstream that speaks the users' platform's dialect
     #[bpaf(command)]
     Backend {
-        /// Its service
+        /// Service that the upstream belongs to
         #[bpaf(long, argument("NAME"))]
         service: String,
-        /// Its data centre
+        /// Data centre of the upstream
         #[bpaf(long, argument("NAME"))]
         data_center: String,
-        /// Where it writes that it is there
+        /// Address of the store that it publishes its entry to
         #[bpaf(long, argument("ADDR"))]
         store: SocketAddr,
-        /// Requests that it runs at once
+        /// Maximum number of concurrent requests
         #[bpaf(long, argument("N"))]
         slots: u32,
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
     /// A plain service
     #[bpaf(command)]
     Plain {
-        /// Its knobs, as JSON
+        /// Initial knobs, as JSON
         #[bpaf(short, long, argument("JSON"), optional)]
         knobs: Option<String>,
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(positional("ADDR"))]
         addr: SocketAddr,
     },
@@ -87,7 +87,7 @@
 /// Runs the stand-in that the command line names.
 ///
 /// # Errors
-/// When its address can't be listened on or its knobs can't be read.
+/// Fails if the address can't be listened on or the knobs are not valid JSON.
 pub fn main() -> io::Result<()> {
     let command = command().run();
     compio::runtime::Runtime::new()?.block_on(async {
@@ -105,7 +105,7 @@
             Ok(platform.addr)
         }
         Command::Engine { knobs, addr } => {
-            let knobs: engine::Knobs = read(knobs)?;
+            let knobs: engine::Knobs = parse_knobs(knobs)?;
             Ok(Engine::bind(addr, knobs).await?.addr)
         }
         Command::Relay {
@@ -121,22 +121,22 @@
             slots,
             addr,
         } => {
-            let identity = Identity {
+            let config = BackendConfig {
                 service,
                 data_center,
                 store,
                 slots,
             };
-            Ok(Backend::bind(addr, identity).await?.addr)
+            Ok(Backend::bind(addr, config).await?.addr)
         }
         Command::Plain { knobs, addr } => {
-            let knobs: plain::Knobs = read(knobs)?;
+            let knobs: plain::Knobs = parse_knobs(knobs)?;
             Ok(Plain::bind(addr, knobs).await?.addr)
         }
     }
 }
 
-fn read<T: Default + serde::de::DeserializeOwned>(knobs: Option<String>) -> io::Result<T> {
+fn parse_knobs<T: Default + serde::de::DeserializeOwned>(knobs: Option<String>) -> io::Result<T> {
     match knobs {
         None => Ok(T::default()),
         Some(text) => serde_json::from_str(&text).map_err(io::Error::other),
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -1,6 +1,6 @@
-//! A model engine: continuous batching with a step time, a prefix cache in limited memory, streams
-//! that resume and cancel, KV export and import, and answers whose content follows from the
-//! prompt, so that a test can check each token.
+//! A model engine: continuous batching with a step time, a size-limited prefix cache, streams that
+//! can be resumed and cancelled, and KV export and import. The answer is derived from the prompt,
+//! so that a test can check each token.
 
 mod cache;
 mod prompt;
@@ -17,7 +17,7 @@
 use crate::http::serve;
 use server::Server;
 
-/// Faults a test can set, and the engine's speed.
+/// Faults that a test can set, and the engine's speed and capacity.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
@@ -25,29 +25,29 @@
     pub step_ms: u64,
     /// Time to prefill 1,000 uncached tokens.
     pub prefill_ms_per_1000: u64,
-    /// Streams that run at once.
+    /// Maximum number of concurrent streams.
     pub slots: usize,
-    /// Tokens the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: usize,
-    /// A prompt that holds this text kills the process.
+    /// A prompt that contains this text aborts the process.
     pub crash_marker: String,
-    /// Answer this many requests under another request's id.
+    /// Number of requests to answer with another request's id.
     pub cross_answers: u32,
-    /// Cut this many streams after their first token.
+    /// Number of streams to cut after the first token.
     pub cut_streams: u32,
-    /// How old the load report is.
+    /// Age of the load that reports contain.
     pub report_lag_ms: u64,
-    /// Leave out every n-th cache event; zero leaves out none.
+    /// Omit every n-th cache event; 0 omits none.
     pub event_gap: u64,
-    /// How long a stream without a reader goes on.
+    /// How long generation continues without a reader.
     pub resume_grace_ms: u64,
-    /// Refuse orders whose fencing number is older than the last.
+    /// Reject orders with a fencing number below the highest one accepted.
     pub honour_fencing: bool,
-    /// Where weights are fetched from before an order to load is in force; empty fetches none.
+    /// Address to fetch weights from before a load order takes effect; none are fetched if empty.
     pub weight_store: String,
-    /// Report that this engine is leaving.
+    /// Report that this engine is leaving the fleet.
     pub leaving: bool,
-    /// Fail this share of requests, in percent, with status 500 before they run.
+    /// Percentage of requests that fail with status 500 before they run.
     pub fail_percent: u64,
 }
 
@@ -72,39 +72,39 @@
     }
 }
 
-/// One run of a request, kept for the test to check.
+/// One execution of a request, recorded for tests.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Run {
-    /// The id the router gave.
+    /// Id that the router gave the request.
     pub request_id: String,
-    /// Which try it was.
+    /// Number of the attempt.
     pub attempt: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub idempotency_key: String,
-    /// Prompt length.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// How much of it was cached.
+    /// Number of prompt tokens that were cached.
     pub cached_tokens: u32,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     pub sent_tokens: u32,
-    /// All were generated.
+    /// Whether all tokens were generated.
     pub whole: bool,
 }
 
-/// What the engine says of its load.
+/// Load that the engine reports.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Load {
-    /// Streams running.
+    /// Number of running streams.
     pub running: usize,
-    /// Requests waiting for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: usize,
-    /// It takes no new work soon.
+    /// Whether the engine is about to stop taking new requests.
     pub leaving: bool,
 }
 
 /// A running engine.
 pub struct Engine {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
@@ -112,7 +112,7 @@
     /// Starts an engine on the current runtime.
     ///
     /// # Errors
-    /// When `addr` can't be listened on.
+    /// Fails if `addr` can't be listened on.
     pub async fn bind(addr: SocketAddr, knobs: Knobs) -> io::Result<Self> {
         let server = Rc::new(Server::new(knobs));
         let addr = serve(addr, server).await?;
@@ -120,7 +120,7 @@
     }
 }
 
-/// The text of token `index` of the answer to `prompt`.
+/// Returns the text of token `index` of the answer to `prompt`.
 pub fn token(prompt: &str, index: u32) -> String {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), index.into());
     format!("{:04x} ", hash & 0xffff)
--- a/standins/src/engine/server.rs
+++ b/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP calls and the generation behind them.
+//! The engine's HTTP endpoints and the generation of answers.
 
 mod orders;
 
@@ -14,10 +14,10 @@
 use super::prompt::{self, Prompt};
 use super::stream::{Stream, chunk, last_chunk};
 use super::{Knobs, Load, Run, token};
-use crate::http::{Ask, Handler, Reply, json, post, print_run, status};
+use crate::http::{BufferedRequest, Handler, ResponseBody, json, post, print_run, status};
 
-const REPORTS_KEPT: usize = 4_096;
-const STREAM_KEPT: Duration = Duration::from_secs(10);
+const MAX_REPORTS: usize = 4_096;
+const STREAM_RETENTION: Duration = Duration::from_secs(10);
 const KV_TOKENS_PER_MS: u64 = 80;
 const PRIORITIES: [&str; 3] = ["urgent", "normal", "batch"];
 
@@ -58,20 +58,20 @@
 }
 
 impl Handler for Server {
-    async fn handle(self: Rc<Self>, ask: Ask) -> Option<Response<Reply>> {
-        let stream = ask.path.strip_prefix("/v1/streams/");
-        match (&ask.method, ask.path.as_str(), stream) {
-            (&Method::POST, "/v1/chat/completions", _) => Some(self.chat(&ask)),
-            (&Method::GET, _, Some(id)) => Some(self.resume(id, &ask)),
+    async fn handle(self: Rc<Self>, request: BufferedRequest) -> Option<Response<ResponseBody>> {
+        let stream = request.path.strip_prefix("/v1/streams/");
+        match (&request.method, request.path.as_str(), stream) {
+            (&Method::POST, "/v1/chat/completions", _) => Some(self.chat(&request)),
+            (&Method::GET, _, Some(id)) => Some(self.resume(id, &request)),
             (&Method::DELETE, _, Some(id)) => Some(self.cancel(id)),
-            (&Method::POST, "/knobs", _) => Some(self.set_knobs(&ask)),
+            (&Method::POST, "/knobs", _) => Some(self.set_knobs(&request)),
             (&Method::GET, "/runs", _) => Some(json(&self.state.borrow().runs)),
-            (&Method::GET, "/load", _) => Some(json(&self.reported())),
-            (&Method::GET, "/report", _) => Some(self.report(&ask)),
-            (&Method::GET, "/cache/digest", _) => Some(self.cache_digest(&ask)),
-            (&Method::POST, "/kv/export", _) => Some(self.export(&ask).await),
-            (&Method::POST, "/kv/import", _) => Some(self.import(&ask)),
-            (&Method::POST, "/orders", _) => Some(self.order(&ask).await),
+            (&Method::GET, "/load", _) => Some(json(&self.lagged_load())),
+            (&Method::GET, "/report", _) => Some(self.report(&request)),
+            (&Method::GET, "/cache/digest", _) => Some(self.cache_digest(&request)),
+            (&Method::POST, "/kv/export", _) => Some(self.export(&request).await),
+            (&Method::POST, "/kv/import", _) => Some(self.import(&request)),
+            (&Method::POST, "/orders", _) => Some(self.order(&request).await),
             (&Method::GET, "/loaded", _) => Some(self.loaded()),
             _ => Some(status(StatusCode::NOT_FOUND)),
         }
@@ -89,8 +89,8 @@
         }
     }
 
-    fn set_knobs(&self, ask: &Ask) -> Response<Reply> {
-        match serde_json::from_slice(&ask.body) {
+    fn set_knobs(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        match serde_json::from_slice(&request.body) {
             Ok(knobs) => {
                 self.state.borrow_mut().knobs = knobs;
                 status(StatusCode::OK)
@@ -99,26 +99,26 @@
         }
     }
 
-    fn chat(self: Rc<Self>, ask: &Ask) -> Response<Reply> {
-        let Some(prompt) = prompt::read(&ask.body, ask.header("x-cache-key")) else {
+    fn chat(self: Rc<Self>, request: &BufferedRequest) -> Response<ResponseBody> {
+        let Some(prompt) = prompt::parse(&request.body, request.header("x-cache-key")) else {
             return status(StatusCode::BAD_REQUEST);
         };
         if self.take_failure() {
-            return self.echo(status(StatusCode::INTERNAL_SERVER_ERROR), ask);
+            return self.with_request_id(status(StatusCode::INTERNAL_SERVER_ERROR), request);
         }
         let marker = self.state.borrow().knobs.crash_marker.clone();
-        let run = self.begin(ask, &prompt);
+        let run = self.record_run(request, &prompt);
         if !marker.is_empty() && prompt.text.contains(&marker) {
             std::process::abort();
         }
-        let id = self.answer_id(ask);
+        let id = self.answer_id(request);
         let stream = Stream::new();
-        let request_id = ask.header("x-request-id").to_owned();
+        let request_id = request.header("x-request-id").to_owned();
         let mut state = self.state.borrow_mut();
         state.streams.insert(request_id.clone(), stream.clone());
         drop(state);
-        let rx = stream.read(0, self.take_cut());
-        let class = class(ask.header("x-priority"));
+        let rx = stream.read(0, self.take_stream_cut());
+        let class = class(request.header("x-priority"));
         let job = Job {
             run,
             class,
@@ -131,53 +131,57 @@
         event_stream(rx, &id)
     }
 
-    /// An answer with the request's id, whatever the status.
-    fn echo(&self, mut response: Response<Reply>, ask: &Ask) -> Response<Reply> {
-        if let Ok(id) = HeaderValue::from_str(ask.header("x-request-id")) {
+    /// Adds the request's id to a response.
+    fn with_request_id(
+        &self,
+        mut response: Response<ResponseBody>,
+        request: &BufferedRequest,
+    ) -> Response<ResponseBody> {
+        if let Ok(id) = HeaderValue::from_str(request.header("x-request-id")) {
             response.headers_mut().insert("x-request-id", id);
         }
         response
     }
 
-    /// The id to answer under: the request's own, unless a knob crosses answers.
-    fn answer_id(&self, ask: &Ask) -> String {
+    /// Returns the id to answer with: the request's own, unless the `cross_answers` knob is set.
+    fn answer_id(&self, request: &BufferedRequest) -> String {
         let mut state = self.state.borrow_mut();
         if state.knobs.cross_answers > 0 {
             state.knobs.cross_answers -= 1;
             return "another-request".to_owned();
         }
-        ask.header("x-request-id").to_owned()
+        request.header("x-request-id").to_owned()
     }
 
-    fn resume(&self, id: &str, ask: &Ask) -> Response<Reply> {
+    fn resume(&self, id: &str, request: &BufferedRequest) -> Response<ResponseBody> {
         let Some(stream) = self.state.borrow().streams.get(id).cloned() else {
             return status(StatusCode::NOT_FOUND);
         };
-        if stream.given_up(Duration::MAX) {
+        if stream.is_abandoned(Duration::MAX) {
             return status(StatusCode::NOT_FOUND);
         }
-        let offset = ask.query("offset").unwrap_or(0);
-        event_stream(stream.read(offset, self.take_cut()), id)
+        let offset = request.query("offset").unwrap_or(0);
+        event_stream(stream.read(offset, self.take_stream_cut()), id)
     }
 
-    fn cancel(&self, id: &str) -> Response<Reply> {
+    fn cancel(&self, id: &str) -> Response<ResponseBody> {
         if let Some(stream) = self.state.borrow().streams.get(id) {
             stream.cancel();
         }
         status(StatusCode::OK)
     }
 
-    /// Records the run; returns its place in the record.
-    fn begin(&self, ask: &Ask, prompt: &Prompt) -> usize {
+    /// Records the run; returns its index in `State::runs`.
+    fn record_run(&self, request: &BufferedRequest, prompt: &Prompt) -> usize {
         let mut state = self.state.borrow_mut();
         let cached_tokens = state.cache.tokens(prompt.key).min(prompt.tokens);
         let run = Run {
-            request_id: ask.header("x-request-id").to_owned(),
-            attempt: ask.header("x-attempt").to_owned(),
-            idempotency_key: ask.header("idempotency-key").to_owned(),
+            request_id: request.header("x-request-id").to_owned(),
+            attempt: request.header("x-attempt").to_owned(),
+            idempotency_key: request.header("idempotency-key").to_owned(),
             prompt_tokens: prompt.tokens,
             cached_tokens,
-            sent_tokens: prompt.first,
+            sent_tokens: prompt.first_token,
             whole: false,
         };
         print_run(&run);
@@ -193,30 +197,31 @@
             state.report();
         }
         job.stream.end();
-        compio::time::sleep(STREAM_KEPT).await;
+        compio::time::sleep(STREAM_RETENTION).await;
         let mut state = self.state.borrow_mut();
-        let kept = state.streams.get(&job.request_id);
-        if kept.is_some_and(|kept| Rc::ptr_eq(kept, &job.stream)) {
+        let stored = state.streams.get(&job.request_id);
+        if stored.is_some_and(|stored| Rc::ptr_eq(stored, &job.stream)) {
             state.streams.remove(&job.request_id);
         }
     }
 
-    /// Takes a slot unless a more urgent request waits; false when the request was given up.
+    /// Waits for a free slot, after all requests of a more urgent class; returns false if the
+    /// request was abandoned.
     async fn wait_for_slot(&self, job: &Job) -> bool {
         self.state.borrow_mut().waiting[job.class] += 1;
         loop {
             {
                 let mut state = self.state.borrow_mut();
                 let grace = Duration::from_millis(state.knobs.resume_grace_ms);
-                let given_up = job.stream.given_up(grace);
-                let first = state.waiting[..job.class].iter().all(|n| *n == 0);
+                let abandoned = job.stream.is_abandoned(grace);
+                let is_next = state.waiting[..job.class].iter().all(|n| *n == 0);
                 let free = state.load.running < state.knobs.slots;
-                if given_up || (first && free) {
+                if abandoned || (is_next && free) {
                     state.waiting[job.class] -= 1;
                     state.load.waiting = state.waiting.iter().sum();
-                    state.load.running += usize::from(!given_up);
+                    state.load.running += usize::from(!abandoned);
                     state.report();
-                    return !given_up;
+                    return !abandoned;
                 }
                 state.load.waiting = state.waiting.iter().sum();
             }
@@ -234,11 +239,11 @@
         let prefill = Duration::from_millis(uncached * knobs.prefill_ms_per_1000 / 1_000);
         compio::time::sleep(prefill).await;
         let grace = Duration::from_millis(knobs.resume_grace_ms);
-        for index in prompt.first..prompt.max_tokens {
+        for index in prompt.first_token..prompt.max_tokens {
             if knobs.step_ms > 0 {
                 compio::time::sleep(Duration::from_millis(knobs.step_ms)).await;
             }
-            if job.stream.given_up(grace) {
+            if job.stream.is_abandoned(grace) {
                 return;
             }
             let content = token(&prompt.text, index);
@@ -249,17 +254,17 @@
         job.stream.push(last_chunk(&job.id, prompt, cached));
         let mut state = self.state.borrow_mut();
         state.runs[job.run].whole = true;
-        state.remember(prompt.key, prompt.tokens + prompt.max_tokens);
+        state.cache_chat(prompt.key, prompt.tokens + prompt.max_tokens);
     }
 
-    fn take_cut(&self) -> bool {
+    fn take_stream_cut(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let cut = state.knobs.cut_streams > 0;
         state.knobs.cut_streams = state.knobs.cut_streams.saturating_sub(1);
         cut
     }
 
-    /// Spreads failures evenly: every n-th request fails.
+    /// Returns whether the next request fails; failures are spread evenly over the requests.
     fn take_failure(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let percent = state.knobs.fail_percent;
@@ -268,7 +273,7 @@
         n * percent / 100 != (n - 1) * percent / 100
     }
 
-    fn reported(&self) -> Load {
+    fn lagged_load(&self) -> Load {
         let state = self.state.borrow();
         let lag = Duration::from_millis(state.knobs.report_lag_ms);
         let mut reports = state.reports.iter().rev();
@@ -279,22 +284,22 @@
         }
     }
 
-    /// Load and cache events in one answer: routers pay for each byte they ask for.
-    fn report(&self, ask: &Ask) -> Response<Reply> {
-        let from = ask.query("from").unwrap_or(0);
-        let load = self.reported();
+    /// Returns load and cache events in one response, which keeps the polling traffic of routers small.
+    fn report(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let from = request.query("from").unwrap_or(0);
+        let load = self.lagged_load();
         let events = self.state.borrow().cache.events(from);
         json(&Report { load, events })
     }
 
-    fn cache_digest(&self, ask: &Ask) -> Response<Reply> {
-        let max = ask.query("max").unwrap_or(1_000);
+    fn cache_digest(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let max = request.query("max").unwrap_or(1_000);
         json(&self.state.borrow().cache.digest(max))
     }
 
-    /// Sends a chat's cache to another engine, at the speed of the link between them.
-    async fn export(&self, ask: &Ask) -> Response<Reply> {
-        let Ok(export) = serde_json::from_slice::<KvExport>(&ask.body) else {
+    /// Sends the cache of a chat to another engine, delayed by the transfer time.
+    async fn export(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let Ok(export) = serde_json::from_slice::<KvExport>(&request.body) else {
             return status(StatusCode::BAD_REQUEST);
         };
         let key = export.key;
@@ -311,17 +316,17 @@
         }
     }
 
-    fn import(&self, ask: &Ask) -> Response<Reply> {
-        let Ok(import) = serde_json::from_slice::<KvImport>(&ask.body) else {
+    fn import(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let Ok(import) = serde_json::from_slice::<KvImport>(&request.body) else {
             return status(StatusCode::BAD_REQUEST);
         };
         let mut state = self.state.borrow_mut();
-        state.remember(import.key, import.tokens);
+        state.cache_chat(import.key, import.tokens);
         status(StatusCode::OK)
     }
 }
 
-/// One request on its way through the engine.
+/// A request that waits or runs.
 struct Job {
     run: usize,
     class: usize,
@@ -335,15 +340,14 @@
     fn report(&mut self) {
         let load = self.load;
         self.reports.push((Instant::now(), load));
-        if self.reports.len() > REPORTS_KEPT {
-            self.reports.drain(..REPORTS_KEPT / 2);
+        if self.reports.len() > MAX_REPORTS {
+            self.reports.drain(..MAX_REPORTS / 2);
         }
     }
 
-    fn remember(&mut self, key: u64, tokens: u32) {
+    fn cache_chat(&mut self, key: u64, tokens: u32) {
         let limit = self.knobs.cache_tokens;
-        self.cache
-            .remember(key, tokens, limit, self.knobs.event_gap);
+        self.cache.insert(key, tokens, limit, self.knobs.event_gap);
     }
 }
 
@@ -355,8 +359,8 @@
 fn event_stream(
     rx: tokio::sync::mpsc::Receiver<std::io::Result<bytes::Bytes>>,
     id: &str,
-) -> Response<Reply> {
-    let mut response = Response::new(Reply::Stream(rx));
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Stream(rx));
     if let Ok(id) = HeaderValue::from_str(id) {
         response.headers_mut().insert("x-request-id", id);
     }
--- a/standins/src/engine/server/orders.rs
+++ b/standins/src/engine/server/orders.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Server;
-use crate::http::{Ask, Reply, get, json, status};
+use crate::http::{BufferedRequest, ResponseBody, get, json, status};
 
 const FETCH_TRIES: u32 = 100;
 const FETCH_PAUSE: Duration = Duration::from_millis(100);
@@ -19,7 +19,7 @@
     value: String,
 }
 
-/// What an engine was told, and under which number.
+/// The accepted orders, by action, and the highest fencing number.
 #[derive(Serialize)]
 struct Loaded<'a> {
     fencing: u64,
@@ -27,8 +27,8 @@
 }
 
 impl Server {
-    pub(super) async fn order(&self, ask: &Ask) -> Response<Reply> {
-        let Ok(order) = serde_json::from_slice::<Order>(&ask.body) else {
+    pub(super) async fn order(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let Ok(order) = serde_json::from_slice::<Order>(&request.body) else {
             return status(StatusCode::BAD_REQUEST);
         };
         if self.is_fenced(&order) {
@@ -37,7 +37,7 @@
         if !self.fetch_weights(&order).await {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        // A newer order may have come while the weights did.
+        // A newer order may have been accepted while the weights were fetched.
         if self.is_fenced(&order) {
             return status(StatusCode::CONFLICT);
         }
@@ -52,7 +52,8 @@
         state.knobs.honour_fencing && order.fencing < state.fencing
     }
 
-    /// Fetches what an order to load names, as soon as the store's rate allows.
+    /// Fetches the weights for a load order, with retries while the store limits its rate; returns
+    /// whether the weights are there.
     async fn fetch_weights(&self, order: &Order) -> bool {
         let store = self.state.borrow().knobs.weight_store.clone();
         if store.is_empty() || !order.action.starts_with("load_") {
@@ -68,7 +69,7 @@
         false
     }
 
-    pub(super) fn loaded(&self) -> Response<Reply> {
+    pub(super) fn loaded(&self) -> Response<ResponseBody> {
         let state = self.state.borrow();
         json(&Loaded {
             fencing: state.fencing,
--- a/standins/src/engine/stream.rs
+++ b/standins/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: what was generated so far, and who reads it.
+//! A stream: the events generated so far and its readers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -46,13 +46,13 @@
         self.cancelled.set(true);
     }
 
-    /// Cancelled, or nobody has read for `grace`.
-    pub(super) fn given_up(&self, grace: Duration) -> bool {
-        let unread = self.readers.get() == 0 && self.unread_since.get().elapsed() > grace;
-        self.cancelled.get() || unread
+    /// Whether the stream was cancelled or has had no reader for longer than `grace`.
+    pub(super) fn is_abandoned(&self, grace: Duration) -> bool {
+        let has_no_reader = self.readers.get() == 0 && self.unread_since.get().elapsed() > grace;
+        self.cancelled.get() || has_no_reader
     }
 
-    /// Sends the events from `offset` on; cuts the connection after the first if `cut` is set.
+    /// Sends the events from `offset` on; if `cut` is set, cuts the connection after the first.
     pub(super) fn read(
         self: &Rc<Self>,
         offset: usize,
@@ -62,7 +62,7 @@
         let this = self.clone();
         compio::runtime::spawn(async move {
             this.readers.set(this.readers.get() + 1);
-            this.follow(offset, cut, tx).await;
+            this.send_events(offset, cut, tx).await;
             this.readers.set(this.readers.get() - 1);
             this.unread_since.set(Instant::now());
         })
@@ -70,7 +70,7 @@
         rx
     }
 
-    async fn follow(&self, offset: usize, cut: bool, tx: mpsc::Sender<io::Result<Bytes>>) {
+    async fn send_events(&self, offset: usize, cut: bool, tx: mpsc::Sender<io::Result<Bytes>>) {
         let mut next = offset;
         loop {
             let changed = self.changed.notified();
@@ -82,17 +82,19 @@
                         return;
                     }
                     if cut {
-                        // The reader may be gone already.
-                        let _ = tx.send(Err(io::Error::other("cut by a knob"))).await;
+                        // The reader may have disconnected already.
+                        let _ = tx
+                            .send(Err(io::Error::other("stream cut by the cut_streams knob")))
+                            .await;
                         return;
                     }
                 }
                 None if self.ended.get() => return,
                 None => {
-                    let gone = tx.closed();
-                    futures_util::pin_mut!(changed, gone);
+                    let disconnected = tx.closed();
+                    futures_util::pin_mut!(changed, disconnected);
                     if let futures_util::future::Either::Right(_) =
-                        futures_util::future::select(changed, gone).await
+                        futures_util::future::select(changed, disconnected).await
                     {
                         return;
                     }
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! The little of HTTP that all stand-ins share.
+//! HTTP server and client helpers shared by the stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
 use tokio::sync::mpsc;
 
 /// A response body.
-pub(crate) enum Reply {
-    Whole(Option<Bytes>),
+pub(crate) enum ResponseBody {
+    Full(Option<Bytes>),
     Stream(mpsc::Receiver<io::Result<Bytes>>),
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -32,7 +32,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Stream(rx) => rx
                 .poll_recv(cx)
                 .map(|next| next.map(|r| r.map(Frame::data))),
@@ -40,8 +40,8 @@
     }
 }
 
-/// A request with its body read.
-pub(crate) struct Ask {
+/// A request with its whole body.
+pub(crate) struct BufferedRequest {
     pub(crate) method: http::Method,
     pub(crate) path: String,
     pub(crate) query: String,
@@ -49,8 +49,8 @@
     pub(crate) body: Bytes,
 }
 
-impl Ask {
-    /// The value of a query field.
+impl BufferedRequest {
+    /// Returns the value of a query parameter.
     pub(crate) fn query<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         let mut pairs = self.query.split('&').filter_map(|p| p.split_once('='));
         pairs.find(|(k, _)| *k == name)?.1.parse().ok()
@@ -62,9 +62,12 @@
     }
 }
 
-/// What answers requests. `None` cuts the connection without a reply.
+/// Answers requests; `None` closes the connection without a response.
 pub(crate) trait Handler: 'static {
-    fn handle(self: Rc<Self>, ask: Ask) -> impl Future<Output = Option<Response<Reply>>>;
+    fn handle(
+        self: Rc<Self>,
+        request: BufferedRequest,
+    ) -> impl Future<Output = Option<Response<ResponseBody>>>;
 }
 
 /// Listens on `addr` and serves until the process ends.
@@ -86,51 +89,52 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
-        async move { answer(handler, request).await }
+        async move { respond(handler, request).await }
     });
-    // A caller that breaks off is part of the tests.
+    // Errors are ignored: tests disconnect callers on purpose.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(CompioTimer)
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
 }
 
-async fn answer<H: Handler>(
+async fn respond<H: Handler>(
     handler: Rc<H>,
     request: Request<Incoming>,
-) -> Result<Response<Reply>, io::Error> {
+) -> Result<Response<ResponseBody>, io::Error> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let ask = Ask {
+    let request = BufferedRequest {
         method: parts.method,
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
         headers: parts.headers,
         body,
     };
-    let reply = handler.handle(ask).await;
-    reply.ok_or_else(|| io::Error::other("reply dropped by a knob"))
+    let response = handler.handle(request).await;
+    response
+        .ok_or_else(|| io::Error::other("connection closed without a response, as set by a knob"))
 }
 
-/// Writes a run to standard output, where the record outlives a process that is killed.
+/// Prints a run to standard output, so that the record survives if the process is killed.
 pub(crate) fn print_run<T: Serialize>(run: &T) {
     if let Ok(line) = serde_json::to_string(run) {
         println!("{line}");
     }
 }
 
-pub(crate) fn json<T: Serialize>(value: &T) -> Response<Reply> {
+pub(crate) fn json<T: Serialize>(value: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    Response::new(Reply::Whole(Some(text.into())))
+    Response::new(ResponseBody::Full(Some(text.into())))
 }
 
-pub(crate) fn status(code: StatusCode) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(None));
+pub(crate) fn status(code: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(None));
     *response.status_mut() = code;
     response
 }
 
-/// Posts `body` to another stand-in.
+/// Sends a POST request with `body` to another stand-in.
 pub(crate) async fn post(url: &str, body: impl Into<cyper::Body>) -> io::Result<()> {
     let client = cyper::Client::new().map_err(io::Error::other)?;
     let request = client.post(url).map_err(io::Error::other)?.body(body);
@@ -141,7 +145,7 @@
     Err(io::Error::other(response.status().to_string()))
 }
 
-/// Gets a page of another stand-in.
+/// Sends a GET request to another stand-in.
 pub(crate) async fn get(url: &str) -> io::Result<()> {
     let client = cyper::Client::new().map_err(io::Error::other)?;
     let request = client.get(url).map_err(io::Error::other)?;
--- a/standins/src/keyed.rs
+++ b/standins/src/keyed.rs
@@ -1,4 +1,4 @@
-//! A store of streams that keep the newest record of each key, as the users' platform runs it.
+//! A store of streams that retain the newest record of each key, like that of the users' platform.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -15,50 +15,50 @@
 use serde_json::json;
 use tokio::sync::watch;
 
-use crate::http::{Ask, Handler, Reply, json as json_reply, serve, status};
+use crate::http::{BufferedRequest, Handler, ResponseBody, json as json_reply, serve, status};
 
-/// Upstreams write here; an entry that isn't written again lapses.
+/// Stream that upstreams publish to; an entry that isn't refreshed expires.
 const UPSTREAM_STREAM: &str = "keyed.servers";
 const PAGE_ENTRIES: usize = 50;
 
-/// Faults a test can set.
+/// Faults that a test can set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// What every call gets instead of an answer.
+    /// Fault that every request gets instead of a response.
     pub fault: Fault,
-    /// Added to each call.
+    /// Delay added to each request.
     pub delay_ms: u64,
-    /// Drop the replies of this many appends, after they were done.
+    /// Number of appends whose responses are dropped, after they took effect.
     pub drop_replies: u32,
-    /// Entries of upstreams lapse after this long; 0: never.
+    /// Time after which entries of upstreams expire; 0 disables expiry.
     pub lapse_ms: u64,
-    /// Forget all records now but the newest of each key.
+    /// Truncate every stream now; the newest record of each key remains readable.
     pub forget: bool,
-    /// Answer this many reads with bytes that are no records.
+    /// Number of reads whose response ends in bytes that are not a record.
     pub garble_reads: u32,
 }
 
-/// What a call gets instead of an answer.
+/// What a request gets instead of a response.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It is answered.
+    /// No fault.
     #[default]
     None,
     /// 503.
     Busy,
     /// 429.
     Many,
-    /// The connection is cut.
+    /// The connection is closed.
     Cut,
-    /// Nothing.
+    /// No response.
     Silent,
 }
 
 /// A running store.
 pub struct Keyed {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
@@ -67,7 +67,7 @@
     first: u64,
     records: Vec<(String, Bytes)>,
     newest: BTreeMap<String, (u64, Bytes)>,
-    written: HashMap<String, Instant>,
+    written_at: HashMap<String, Instant>,
 }
 
 impl Stream {
@@ -75,26 +75,29 @@
         self.first + self.records.len() as u64
     }
 
-    /// A write that changes nothing but a counter is no news.
+    /// Writes a value; appends no record if the value is unchanged. An empty value deletes the key.
     fn put(&mut self, key: String, value: Bytes) {
-        self.written.insert(key.clone(), Instant::now());
+        self.written_at.insert(key.clone(), Instant::now());
         if self.newest.get(&key).is_some_and(|(_, v)| *v == value) {
             return;
         }
         let at = self.end();
         if value.is_empty() {
             self.newest.remove(&key);
-            self.written.remove(&key);
+            self.written_at.remove(&key);
         } else {
             self.newest.insert(key.clone(), (at, value.clone()));
         }
         self.records.push((key, value));
     }
 
-    fn lapse(&mut self, limit: Duration) {
-        let old = self.written.iter().filter(|(_, at)| at.elapsed() > limit);
-        let old: Vec<String> = old.map(|(key, _)| key.clone()).collect();
-        for key in old {
+    fn expire(&mut self, limit: Duration) {
+        let expired = self
+            .written_at
+            .iter()
+            .filter(|(_, at)| at.elapsed() > limit);
+        let expired: Vec<String> = expired.map(|(key, _)| key.clone()).collect();
+        for key in expired {
             self.put(key, Bytes::new());
         }
     }
@@ -111,7 +114,7 @@
     /// Starts a store on the current runtime.
     ///
     /// # Errors
-    /// When `addr` can't be listened on.
+    /// Fails if `addr` can't be listened on.
     pub async fn bind(addr: SocketAddr) -> io::Result<Self> {
         let server = Rc::new(Server {
             knobs: RefCell::default(),
@@ -119,18 +122,18 @@
             changed: watch::Sender::new(0),
             calls: Cell::default(),
         });
-        compio::runtime::spawn(server.clone().lapse()).detach();
+        compio::runtime::spawn(server.clone().expire()).detach();
         let addr = serve(addr, server).await?;
         Ok(Self { addr })
     }
 }
 
 impl Handler for Server {
-    async fn handle(self: Rc<Self>, ask: Ask) -> Option<Response<Reply>> {
-        if (&ask.method, ask.path.as_str()) == (&Method::POST, "/knobs") {
-            return Some(self.set_knobs(&ask));
+    async fn handle(self: Rc<Self>, request: BufferedRequest) -> Option<Response<ResponseBody>> {
+        if (&request.method, request.path.as_str()) == (&Method::POST, "/knobs") {
+            return Some(self.set_knobs(&request));
         }
-        if ask.path == "/calls" {
+        if request.path == "/calls" {
             return Some(json_reply(&self.calls.get()));
         }
         self.calls.set(self.calls.get() + 1);
@@ -146,18 +149,18 @@
             Fault::Cut => return None,
             Fault::Silent => std::future::pending().await,
         }
-        match ask.path.as_str() {
-            "/log-append" => self.append(&ask),
-            "/log-read" => Some(self.read(&ask).await),
-            "/log-newest" => Some(self.newest(&ask)),
+        match request.path.as_str() {
+            "/log-append" => self.append(&request),
+            "/log-read" => Some(self.read(&request).await),
+            "/log-newest" => Some(self.newest(&request)),
             _ => Some(status(StatusCode::NOT_FOUND)),
         }
     }
 }
 
 impl Server {
-    fn set_knobs(&self, ask: &Ask) -> Response<Reply> {
-        let Ok(knobs) = serde_json::from_slice::<Knobs>(&ask.body) else {
+    fn set_knobs(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let Ok(knobs) = serde_json::from_slice::<Knobs>(&request.body) else {
             return status(StatusCode::BAD_REQUEST);
         };
         if knobs.forget {
@@ -170,7 +173,7 @@
         status(StatusCode::OK)
     }
 
-    async fn lapse(self: Rc<Self>) {
+    async fn expire(self: Rc<Self>) {
         loop {
             compio::time::sleep(Duration::from_millis(100)).await;
             let limit_ms = self.knobs.borrow().lapse_ms;
@@ -178,21 +181,21 @@
                 continue;
             }
             if let Some(stream) = self.streams.borrow_mut().get_mut(UPSTREAM_STREAM) {
-                stream.lapse(Duration::from_millis(limit_ms));
+                stream.expire(Duration::from_millis(limit_ms));
             }
             self.changed.send_modify(|n| *n += 1);
         }
     }
 
-    fn append(&self, ask: &Ask) -> Option<Response<Reply>> {
-        let name: String = ask.query("stream_name")?;
-        let mut body = ask.body.clone();
+    fn append(&self, request: &BufferedRequest) -> Option<Response<ResponseBody>> {
+        let name: String = request.query("stream_name")?;
+        let mut body = request.body.clone();
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(name).or_default();
         let position = stream.end();
         while body.len() > 4 {
-            let bytes = body.get_u32() as usize;
-            let mut record = body.split_to(bytes.min(body.len()));
+            let record_bytes = body.get_u32() as usize;
+            let mut record = body.split_to(record_bytes.min(body.len()));
             let key_bytes = usize::from(record.get_u8());
             let key = record.split_to(key_bytes);
             stream.put(String::from_utf8_lossy(&key).into_owned(), record);
@@ -207,29 +210,29 @@
         Some(json_reply(&reply))
     }
 
-    async fn read(&self, ask: &Ask) -> Response<Reply> {
-        let name: String = ask.query("stream_name").unwrap_or_default();
-        let from: u64 = ask.query("from").unwrap_or(0);
-        let wait_ms: u64 = ask.query("wait_ms").unwrap_or(0);
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+    async fn read(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let name: String = request.query("stream_name").unwrap_or_default();
+        let from: u64 = request.query("from").unwrap_or(0);
+        let wait_ms: u64 = request.query("wait_ms").unwrap_or(0);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         let mut changed = self.changed.subscribe();
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if self.has_from(&name, from) || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if self.can_answer(&name, from) || remaining.is_zero() {
                 return self.records(&name, from);
             }
-            let _ = compio::time::timeout(left, changed.changed()).await;
+            let _ = compio::time::timeout(remaining, changed.changed()).await;
         }
     }
 
-    fn has_from(&self, name: &str, from: u64) -> bool {
+    fn can_answer(&self, name: &str, from: u64) -> bool {
         let streams = self.streams.borrow();
         streams
             .get(name)
             .is_some_and(|s| s.end() > from || from < s.first)
     }
 
-    fn records(&self, name: &str, from: u64) -> Response<Reply> {
+    fn records(&self, name: &str, from: u64) -> Response<ResponseBody> {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(name.to_owned()).or_default();
         if from < stream.first {
@@ -252,21 +255,21 @@
             knobs.garble_reads -= 1;
             body.put_slice(b"\xff\xff\xff\xff");
         }
-        Response::new(Reply::Whole(Some(body.freeze())))
+        Response::new(ResponseBody::Full(Some(body.freeze())))
     }
 
-    fn newest(&self, ask: &Ask) -> Response<Reply> {
-        let name: String = ask.query("stream_name").unwrap_or_default();
-        let after: String = ask.query("after").unwrap_or_default();
+    fn newest(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        let name: String = request.query("stream_name").unwrap_or_default();
+        let after: String = request.query("after").unwrap_or_default();
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(name).or_default();
         let rest = stream.newest.iter().filter(|(key, _)| **key > after);
-        let left = rest.clone().count();
+        let remaining = rest.clone().count();
         let entry = |(key, (at, value)): (&String, &(u64, Bytes))| json!({ "key": key, "data": BASE64_STANDARD.encode(value), "position": at });
         let entries: Vec<_> = rest.take(PAGE_ENTRIES).map(entry).collect();
         json_reply(&json!({
             "entries": entries,
-            "more": left > PAGE_ENTRIES,
+            "more": remaining > PAGE_ENTRIES,
             "end_offset": stream.end(),
         }))
     }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for what a router meets: the platform, model engines and plain services.
+//! Test doubles of the systems around a router: the platform, model engines and plain services.
 //!
-//! They keep a record of every run, so that a test can hold what callers were told against what
-//! happened. Each has fault knobs that a test sets over HTTP. Nothing here is shipped.
+//! Each upstream records every request that it ran, so that tests can compare these records with
+//! the responses that callers received. Tests inject faults by setting knobs over HTTP. This crate
+//! is not shipped.
 
 pub mod backend;
 pub mod cli;
--- a/standins/src/plain.rs
+++ b/standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service: answers any path, and records every run.
+//! A plain service: answers any path and records every run.
 
 use std::cell::RefCell;
 use std::io;
@@ -9,37 +9,37 @@
 use http::{HeaderValue, Method, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Ask, Handler, Reply, json, print_run, serve, status};
+use crate::http::{BufferedRequest, Handler, ResponseBody, json, print_run, serve, status};
 
-/// Faults a test can set.
+/// Faults that a test can set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Time a call takes.
+    /// Duration of a request.
     pub delay_ms: u64,
-    /// Drop the replies of this many calls, after they ran.
+    /// Number of requests whose responses are dropped, after they ran.
     pub drop_replies: u32,
-    /// A body that holds this text kills the process.
+    /// A request whose body contains this text aborts the process.
     pub crash_marker: String,
 }
 
-/// One run of a request.
+/// One execution of a request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Run {
-    /// The id the router gave.
+    /// Id that the router gave the request.
     pub request_id: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub idempotency_key: String,
-    /// What was called.
+    /// HTTP method.
     pub method: String,
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: String,
 }
 
 #[derive(Serialize)]
-struct Ran<'a> {
+struct RunResponse<'a> {
     request_id: &'a str,
     ran: usize,
     echo: &'a str,
@@ -53,7 +53,7 @@
 
 /// A running plain service.
 pub struct Plain {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
@@ -66,7 +66,7 @@
     /// Starts a plain service on the current runtime.
     ///
     /// # Errors
-    /// When `addr` can't be listened on.
+    /// Fails if `addr` can't be listened on.
     pub async fn bind(addr: SocketAddr, knobs: Knobs) -> io::Result<Self> {
         let server = Server::default();
         server.state.borrow_mut().knobs = knobs;
@@ -76,18 +76,18 @@
 }
 
 impl Handler for Server {
-    async fn handle(self: Rc<Self>, ask: Ask) -> Option<Response<Reply>> {
-        match (&ask.method, ask.path.as_str()) {
-            (&Method::POST, "/knobs") => Some(self.set_knobs(&ask)),
+    async fn handle(self: Rc<Self>, request: BufferedRequest) -> Option<Response<ResponseBody>> {
+        match (&request.method, request.path.as_str()) {
+            (&Method::POST, "/knobs") => Some(self.set_knobs(&request)),
             (&Method::GET, "/runs") => Some(json(&self.state.borrow().runs)),
-            _ => self.run(&ask).await,
+            _ => self.run(&request).await,
         }
     }
 }
 
 impl Server {
-    fn set_knobs(&self, ask: &Ask) -> Response<Reply> {
-        match serde_json::from_slice(&ask.body) {
+    fn set_knobs(&self, request: &BufferedRequest) -> Response<ResponseBody> {
+        match serde_json::from_slice(&request.body) {
             Ok(knobs) => {
                 self.state.borrow_mut().knobs = knobs;
                 status(StatusCode::OK)
@@ -96,19 +96,19 @@
         }
     }
 
-    async fn run(&self, ask: &Ask) -> Option<Response<Reply>> {
-        let body = String::from_utf8_lossy(&ask.body).into_owned();
+    async fn run(&self, request: &BufferedRequest) -> Option<Response<ResponseBody>> {
+        let body = String::from_utf8_lossy(&request.body).into_owned();
         let knobs = self.state.borrow().knobs.clone();
-        let ran = self.record(ask, &body);
+        let ran = self.record(request, &body);
         if !knobs.crash_marker.is_empty() && body.contains(&knobs.crash_marker) {
             std::process::abort();
         }
         compio::time::sleep(Duration::from_millis(knobs.delay_ms)).await;
-        if self.take_drop() {
+        if self.take_dropped_response() {
             return None;
         }
-        let request_id = ask.header("x-request-id");
-        let mut response = json(&Ran {
+        let request_id = request.header("x-request-id");
+        let mut response = json(&RunResponse {
             request_id,
             ran,
             echo: &body,
@@ -119,13 +119,13 @@
         Some(response)
     }
 
-    fn record(&self, ask: &Ask, body: &str) -> usize {
+    fn record(&self, request: &BufferedRequest, body: &str) -> usize {
         let mut state = self.state.borrow_mut();
         let run = Run {
-            request_id: ask.header("x-request-id").to_owned(),
-            idempotency_key: ask.header("idempotency-key").to_owned(),
-            method: ask.method.to_string(),
-            path: ask.path.clone(),
+            request_id: request.header("x-request-id").to_owned(),
+            idempotency_key: request.header("idempotency-key").to_owned(),
+            method: request.method.to_string(),
+            path: request.path.clone(),
             body: body.to_owned(),
         };
         print_run(&run);
@@ -133,7 +133,7 @@
         state.runs.len()
     }
 
-    fn take_drop(&self) -> bool {
+    fn take_dropped_response(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let drop = state.knobs.drop_replies > 0;
         state.knobs.drop_replies = state.knobs.drop_replies.saturating_sub(1);
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: an append-only log with offsets, a lagging list of hosts and a weight store.
+//! The platform: an append-only log with offsets, a host list that lags, and a weight store.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,51 +10,51 @@
 use http::{Method, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Ask, Handler, Reply, json, serve, status};
+use crate::http::{BufferedRequest, Handler, ResponseBody, json, serve, status};
 use crate::weights::WeightStore;
 
-/// Faults a test can set.
+/// Faults that a test can set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Every log call fails, without effect.
+    /// Every log request fails without effect.
     pub outage: bool,
-    /// Drop the replies of this many appends, after they took effect.
+    /// Number of appends whose responses are dropped, after they took effect.
     pub drop_replies: u32,
-    /// Added to every call.
+    /// Delay added to every request.
     pub delay_ms: u64,
-    /// Records older than this are forgotten; zero keeps all.
+    /// Age at which records are deleted; 0 keeps all.
     pub retention_ms: u64,
-    /// How far the list of hosts lags.
+    /// Time until a change of the host list becomes visible.
     pub host_lag_ms: u64,
-    /// Appends a second over which the log answers 429; zero sets no limit.
+    /// Appends per second above which the log answers 503; 0 sets no limit.
     pub appends_per_s: u32,
-    /// Weights given out a second, over which the store answers 429; zero sets no limit.
+    /// Fetches per second above which the weight store answers 429; 0 sets no limit.
     pub weights_per_s: u32,
 }
 
-/// One line of the list of hosts.
+/// One entry of the host list.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// "router", or "upstream": then only its name and `leaving` count.
+    /// "router" or "upstream"; for an upstream, only `name` and `leaving` are used.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub data_center: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_addr: String,
-    /// Where routers reach it.
+    /// Address for other routers.
     pub peer_addr: String,
-    /// It is being taken away.
+    /// Whether the host is being removed.
     #[serde(default)]
     pub leaving: bool,
 }
 
 #[derive(Serialize)]
-struct Stored {
+struct StoredRecord {
     offset: u64,
     text: String,
     #[serde(skip)]
@@ -64,7 +64,7 @@
 #[derive(Default)]
 struct Stream {
     next: u64,
-    records: VecDeque<Stored>,
+    records: VecDeque<StoredRecord>,
 }
 
 #[derive(Deserialize)]
@@ -73,7 +73,7 @@
 }
 
 #[derive(Serialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
@@ -81,7 +81,7 @@
 struct Page<'a> {
     first: u64,
     next: u64,
-    records: Vec<&'a Stored>,
+    records: Vec<&'a StoredRecord>,
 }
 
 #[derive(Default)]
@@ -96,9 +96,9 @@
 
 /// A running platform.
 pub struct Platform {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    state: Rc<Server>,
+    server: Rc<Server>,
 }
 
 #[derive(Default)]
@@ -110,48 +110,48 @@
     /// Starts the platform on the current runtime.
     ///
     /// # Errors
-    /// When `addr` can't be listened on.
+    /// Fails if `addr` can't be listened on.
     pub async fn bind(addr: SocketAddr) -> io::Result<Self> {
-        let state = Rc::new(Server::default());
-        let addr = serve(addr, state.clone()).await?;
-        Ok(Self { addr, state })
+        let server = Rc::new(Server::default());
+        let addr = serve(addr, server.clone()).await?;
+        Ok(Self { addr, server })
     }
 
-    /// Adds a host to the list at once.
-    pub fn list_host(&self, host: Host) {
-        self.state.state.borrow_mut().put_host(host);
+    /// Adds a host to the host list, without an HTTP request.
+    pub fn add_host(&self, host: Host) {
+        self.server.state.borrow_mut().put_host(host);
     }
 }
 
 impl Handler for Server {
-    async fn handle(self: Rc<Self>, ask: Ask) -> Option<Response<Reply>> {
+    async fn handle(self: Rc<Self>, request: BufferedRequest) -> Option<Response<ResponseBody>> {
         let delay_ms = self.state.borrow().knobs.delay_ms;
         if delay_ms > 0 {
             compio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         let mut state = self.state.borrow_mut();
-        let stream = ask.path.strip_prefix("/log/").map(str::to_owned);
-        if let Some(name) = ask.path.strip_prefix("/weights/") {
+        let stream = request.path.strip_prefix("/log/").map(str::to_owned);
+        if let Some(name) = request.path.strip_prefix("/weights/") {
             let per_s = state.knobs.weights_per_s;
             return Some(state.weights.fetch(name, per_s));
         }
-        match (&ask.method, ask.path.as_str(), stream) {
-            (&Method::POST, "/knobs", _) => Some(state.set_knobs(&ask)),
+        match (&request.method, request.path.as_str(), stream) {
+            (&Method::POST, "/knobs", _) => Some(state.set_knobs(&request)),
             (&Method::GET, "/hosts", _) => Some(state.list_hosts()),
-            (&Method::PUT, "/hosts", _) => Some(state.receive_host(&ask)),
+            (&Method::PUT, "/hosts", _) => Some(state.handle_put_host(&request)),
             (&Method::GET, "/counts", _) => Some(json(&state.append_count)),
-            (&Method::GET, "/weights", _) => Some(json(&state.weights.given)),
+            (&Method::GET, "/weights", _) => Some(json(&state.weights.fetched)),
             (_, _, Some(_)) if state.knobs.outage => Some(status(StatusCode::SERVICE_UNAVAILABLE)),
-            (&Method::POST, _, Some(stream)) => state.append(&stream, &ask),
-            (&Method::GET, _, Some(stream)) => Some(state.read(&stream, &ask)),
+            (&Method::POST, _, Some(stream)) => state.append(&stream, &request),
+            (&Method::GET, _, Some(stream)) => Some(state.read(&stream, &request)),
             _ => Some(status(StatusCode::NOT_FOUND)),
         }
     }
 }
 
 impl State {
-    fn set_knobs(&mut self, ask: &Ask) -> Response<Reply> {
-        match serde_json::from_slice(&ask.body) {
+    fn set_knobs(&mut self, request: &BufferedRequest) -> Response<ResponseBody> {
+        match serde_json::from_slice(&request.body) {
             Ok(knobs) => {
                 self.knobs = knobs;
                 status(StatusCode::OK)
@@ -164,8 +164,8 @@
         self.hosts.push((Instant::now(), host));
     }
 
-    fn receive_host(&mut self, ask: &Ask) -> Response<Reply> {
-        match serde_json::from_slice(&ask.body) {
+    fn handle_put_host(&mut self, request: &BufferedRequest) -> Response<ResponseBody> {
+        match serde_json::from_slice(&request.body) {
             Ok(host) => {
                 self.put_host(host);
                 status(StatusCode::OK)
@@ -174,16 +174,16 @@
         }
     }
 
-    /// The last line of each host that is older than the lag.
-    fn list_hosts(&self) -> Response<Reply> {
+    /// Returns the last entry of each host that is older than the lag.
+    fn list_hosts(&self) -> Response<ResponseBody> {
         let lag = Duration::from_millis(self.knobs.host_lag_ms);
-        let seen = self.hosts.iter().filter(|(at, _)| at.elapsed() >= lag);
-        let latest: BTreeMap<&str, &Host> = seen.map(|(_, h)| (h.name.as_str(), h)).collect();
+        let visible = self.hosts.iter().filter(|(at, _)| at.elapsed() >= lag);
+        let latest: BTreeMap<&str, &Host> = visible.map(|(_, h)| (h.name.as_str(), h)).collect();
         json(&latest.values().collect::<Vec<_>>())
     }
 
-    fn append(&mut self, name: &str, ask: &Ask) -> Option<Response<Reply>> {
-        let Ok(append) = serde_json::from_slice::<Append>(&ask.body) else {
+    fn append(&mut self, name: &str, request: &BufferedRequest) -> Option<Response<ResponseBody>> {
+        let Ok(append) = serde_json::from_slice::<Append>(&request.body) else {
             return Some(status(StatusCode::BAD_REQUEST));
         };
         if self.over_rate() {
@@ -194,7 +194,7 @@
         for text in append.records {
             let at = Instant::now();
             let offset = stream.next;
-            stream.records.push_back(Stored { offset, text, at });
+            stream.records.push_back(StoredRecord { offset, text, at });
             stream.next += 1;
         }
         self.append_count += 1;
@@ -202,25 +202,25 @@
             self.knobs.drop_replies -= 1;
             return None;
         }
-        Some(json(&Appended { offset }))
+        Some(json(&AppendResponse { offset }))
     }
 
     fn over_rate(&mut self) -> bool {
         let limit = self.knobs.appends_per_s as usize;
-        let second = Duration::from_secs(1);
-        while self.appends.front().is_some_and(|at| at.elapsed() > second) {
+        let window = Duration::from_secs(1);
+        while self.appends.front().is_some_and(|at| at.elapsed() > window) {
             self.appends.pop_front();
         }
         self.appends.push_back(Instant::now());
         limit > 0 && self.appends.len() > limit
     }
 
-    fn read(&mut self, name: &str, ask: &Ask) -> Response<Reply> {
-        let from: u64 = ask.query("from").unwrap_or(0);
-        let max: usize = ask.query("max").unwrap_or(256);
-        let keep = Duration::from_millis(self.knobs.retention_ms);
+    fn read(&mut self, name: &str, request: &BufferedRequest) -> Response<ResponseBody> {
+        let from: u64 = request.query("from").unwrap_or(0);
+        let max: usize = request.query("max").unwrap_or(256);
+        let retention = Duration::from_millis(self.knobs.retention_ms);
         let stream = self.streams.entry(name.to_owned()).or_default();
-        let expired = |r: &Stored| !keep.is_zero() && r.at.elapsed() > keep;
+        let expired = |r: &StoredRecord| !retention.is_zero() && r.at.elapsed() > retention;
         while stream.records.front().is_some_and(expired) {
             stream.records.pop_front();
         }
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that cuts, delays or stalls what passes through it, by knobs.
+//! A TCP relay that cuts, delays or stalls connections, as set by knobs.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,30 +15,30 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::http::{Ask, Handler, Reply, json, serve, status};
+use crate::http::{BufferedRequest, Handler, ResponseBody, json, serve, status};
 
 const BUFFER_BYTES: usize = 16 << 10;
 const STALL_CHECK: Duration = Duration::from_millis(5);
 
-/// Faults a test can set.
+/// Faults that a test can set.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Cut every connection that is open now.
+    /// Close every open connection.
     pub cut: bool,
-    /// Accept connections and close them at once.
+    /// Close new connections immediately after accepting them.
     pub refuse: bool,
-    /// Pass nothing on, but keep connections open.
+    /// Forward nothing in either direction, but keep connections open.
     pub stall: bool,
-    /// Pass nothing back from the target, while what goes there passes: cut one way.
+    /// Forward nothing from the target to the client, but still forward to the target.
     pub stall_back: bool,
-    /// Added to each piece, in each direction.
+    /// Delay added to each chunk, in each direction.
     pub delay_ms: u64,
 }
 
 /// A running relay.
 pub struct Relay {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
@@ -51,7 +51,7 @@
     /// Starts a relay from `addr` to `target`; its knobs are set over HTTP at `control`.
     ///
     /// # Errors
-    /// When an address can't be listened on.
+    /// Fails if an address can't be listened on.
     pub async fn bind(
         addr: SocketAddr,
         target: SocketAddr,
@@ -66,8 +66,8 @@
         let addr = listener.local_addr()?;
         compio::runtime::spawn(async move {
             loop {
-                if let Ok((near, _)) = listener.accept().await {
-                    compio::runtime::spawn(server.clone().connection(near, target)).detach();
+                if let Ok((client, _)) = listener.accept().await {
+                    compio::runtime::spawn(server.clone().connection(client, target)).detach();
                 }
             }
         })
@@ -77,9 +77,9 @@
 }
 
 impl Handler for Server {
-    async fn handle(self: Rc<Self>, ask: Ask) -> Option<Response<Reply>> {
-        match (&ask.method, ask.path.as_str()) {
-            (&Method::POST, "/knobs") => match serde_json::from_slice::<Knobs>(&ask.body) {
+    async fn handle(self: Rc<Self>, request: BufferedRequest) -> Option<Response<ResponseBody>> {
+        match (&request.method, request.path.as_str()) {
+            (&Method::POST, "/knobs") => match serde_json::from_slice::<Knobs>(&request.body) {
                 Ok(knobs) => {
                     *self.knobs.borrow_mut() = knobs;
                     if knobs.cut {
@@ -96,51 +96,51 @@
 }
 
 impl Server {
-    async fn connection(self: Rc<Self>, near: TcpStream, target: SocketAddr) {
+    async fn connection(self: Rc<Self>, client: TcpStream, target: SocketAddr) {
         if self.knobs.borrow().refuse {
             return;
         }
         let mut cuts = self.cuts.subscribe();
-        let Ok(far) = TcpStream::connect(target).await else {
+        let Ok(upstream) = TcpStream::connect(target).await else {
             return;
         };
-        let _ = near.set_nodelay(true);
-        let _ = far.set_nodelay(true);
-        let there = self.pipe(near.clone(), far.clone(), false);
-        let back = self.pipe(far, near, true);
-        let both = futures_util::future::join(there, back);
+        let _ = client.set_nodelay(true);
+        let _ = upstream.set_nodelay(true);
+        let forward = self.pipe(client.clone(), upstream.clone(), false);
+        let backward = self.pipe(upstream, client, true);
+        let directions = futures_util::future::join(forward, backward);
         let cut = cuts.changed();
-        pin_mut!(both, cut);
-        // A cut drops both directions, and with them the sockets.
-        let _ = select(both, cut).await;
+        pin_mut!(directions, cut);
+        // A cut drops both directions and thus closes the sockets.
+        let _ = select(directions, cut).await;
     }
 
-    async fn pipe(&self, mut from: TcpStream, mut to: TcpStream, is_back: bool) {
+    async fn pipe(&self, mut from: TcpStream, mut to: TcpStream, is_backward: bool) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
-            let BufResult(read, filled) = from.read(buffer).await;
+            let BufResult(read, chunk) = from.read(buffer).await;
             if !matches!(read, Ok(n) if n > 0) {
                 break;
             }
-            self.hold(is_back).await;
-            let BufResult(written, emptied) = to.write_all(filled).await;
+            self.apply_faults(is_backward).await;
+            let BufResult(written, emptied) = to.write_all(chunk).await;
             if written.is_err() {
                 break;
             }
             buffer = emptied;
         }
-        // The other direction may still carry an answer.
+        // Closes only the write half: the other direction may still carry a response.
         let _ = compio::io::AsyncWrite::shutdown(&mut to).await;
     }
 
-    /// Waits as the knobs say before a piece goes on.
-    async fn hold(&self, is_back: bool) {
+    /// Delays a chunk by the `delay_ms` knob and for as long as its direction is stalled.
+    async fn apply_faults(&self, is_backward: bool) {
         let delay_ms = self.knobs.borrow().delay_ms;
         if delay_ms > 0 {
             compio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
-        let is_stalled = |k: &Knobs| k.stall || (is_back && k.stall_back);
+        let is_stalled = |k: &Knobs| k.stall || (is_backward && k.stall_back);
         while is_stalled(&self.knobs.borrow()) {
             compio::time::sleep(STALL_CHECK).await;
         }
--- a/standins/src/weights.rs
+++ b/standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: gives out model weights, so many a second.
+//! The weight store: serves model weights at a limited rate.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use http::{Response, StatusCode};
 use serde::Serialize;
 
-use crate::http::{Reply, json, status};
+use crate::http::{ResponseBody, json, status};
 
 const WINDOW: Duration = Duration::from_secs(1);
 
@@ -15,16 +15,16 @@
     name: &'a str,
 }
 
-/// What the store gave out within the last second, and in all.
+/// Times of the fetches within the last second, and the number of all fetches.
 #[derive(Default)]
 pub(crate) struct WeightStore {
     recent: VecDeque<Instant>,
-    pub(crate) given: u64,
+    pub(crate) fetched: u64,
 }
 
 impl WeightStore {
-    /// Gives out `name`, or answers 429 when `per_s` were given within a second; zero sets no limit.
-    pub(crate) fn fetch(&mut self, name: &str, per_s: u32) -> Response<Reply> {
+    /// Serves the weights `name`, or 429 after `per_s` fetches within a second; 0 sets no limit.
+    pub(crate) fn fetch(&mut self, name: &str, per_s: u32) -> Response<ResponseBody> {
         while self.recent.front().is_some_and(|at| at.elapsed() > WINDOW) {
             self.recent.pop_front();
         }
@@ -32,7 +32,7 @@
             return status(StatusCode::TOO_MANY_REQUESTS);
         }
         self.recent.push_back(Instant::now());
-        self.given += 1;
+        self.fetched += 1;
         json(&Weights { name })
     }
 }
