--- a/examples/events_cost.rs
+++ b/examples/events_cost.rs
@@ -1,4 +1,5 @@
-//! What one time line event costs the request path: written to a file, and with events off.
+//! Measures the cost of one timeline event on the request path, with events written to a file and
+//! with events off.
 //!
 //! `cargo run --release --example events_cost`
 
@@ -30,5 +31,5 @@
         });
     }
     let each_ns = start.elapsed().as_nanos() / u128::from(COUNT);
-    println!("{name}: {each_ns} ns an event over {COUNT} events");
+    println!("{name}: {each_ns} ns per event over {COUNT} events");
 }
--- a/examples/longrun/faults.rs
+++ b/examples/longrun/faults.rs
@@ -1,23 +1,23 @@
-//! Faults drawn from the seed, one or two at a time.
+//! Faults chosen by the seed, one or two at a time.
 
 use cassiagrade::schema::config::change::Op;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use serde_json::{Value, json};
 
-use crate::ledger::{Leave, Stop};
+use crate::harness::Harness;
+use crate::ledger::{PlannedStop, UpstreamDrain};
 use crate::load::engine_knobs;
 use crate::support::{
     Caller, LARGEST_KEY, Relay, apply_at, chat_body, post, sleep_ms, upstream_at,
 };
-use crate::world::World;
 
 const STEP_MS: u64 = 50;
-/// A planned stop must end by itself in this time; the longest stream lasts half a second.
+/// Time within which a stopped router must exit; the longest stream lasts half a second.
 const STOP_LIMIT_MS: u64 = 20_000;
 const IN_FORCE_LIMIT_MS: u64 = 20_000;
-/// How long a leaving upstream is watched for new work.
-const LEAVE_WATCH_MS: u64 = 1_500;
+/// Time for which a draining upstream is checked for new requests.
+const DRAIN_WATCH_MS: u64 = 1_500;
 const SURGE_CALLS: u32 = 150;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -34,224 +34,229 @@
     CrossAnswers,
     CutStreams,
     CrashOnRequest,
-    LosePlainReplies,
+    DropPlainReplies,
     LogOutage,
     SlowLog,
-    LoseLogReplies,
-    CutOffFromLog,
-    LeaveEngine,
+    DropLogReplies,
+    PartitionFromLog,
+    DrainEngine,
     Surge,
 }
 
 const FAULTS: [(Fault, &str); 19] = [
     (Fault::KillRouter, "router killed and replaced"),
-    (Fault::FreezeRouter, "router frozen and woken"),
-    (Fault::StopRouter, "router stopped by plan"),
+    (Fault::FreezeRouter, "router frozen and resumed"),
+    (Fault::StopRouter, "router stopped as planned"),
     (Fault::KillEngine, "engine killed and restarted"),
-    (Fault::FreezeEngine, "engine frozen and woken"),
+    (Fault::FreezeEngine, "engine frozen and resumed"),
     (Fault::FlapEngine, "engine flapping"),
     (Fault::KillPlain, "plain service killed and restarted"),
     (Fault::CutEngine, "connections to an engine cut"),
     (Fault::SlowEngine, "connections to an engine slowed"),
-    (Fault::CrossAnswers, "answers crossed"),
+    (Fault::CrossAnswers, "responses with another request's id"),
     (Fault::CutStreams, "streams cut by the engine"),
     (Fault::CrashOnRequest, "request that crashes engines"),
-    (Fault::LosePlainReplies, "plain service's replies lost"),
+    (Fault::DropPlainReplies, "plain service's replies dropped"),
     (Fault::LogOutage, "log outage"),
     (Fault::SlowLog, "log slow"),
-    (Fault::LoseLogReplies, "log's replies lost"),
-    (Fault::CutOffFromLog, "one router cut off from the platform"),
-    (Fault::LeaveEngine, "engine leaving and returning"),
+    (Fault::DropLogReplies, "log's replies dropped"),
+    (
+        Fault::PartitionFromLog,
+        "one router cut off from the platform",
+    ),
+    (Fault::DrainEngine, "engine drained and returned"),
     (Fault::Surge, "surge of the largest account"),
 ];
 
 /// Injects faults until the time is up.
-pub(crate) async fn run(world: &World, mut rng: SmallRng) {
-    while !world.over() {
+pub(crate) async fn run(harness: &Harness, mut rng: SmallRng) {
+    while !harness.is_over() {
         sleep_ms(rng.random_range(100..800)).await;
-        let first = draw(&mut rng);
-        // Planned stops and leaves are judged by what they alone did.
-        let alone = [Fault::StopRouter, Fault::LeaveEngine].contains(&first.0);
-        let second = draw(&mut rng);
-        let alone = alone || [Fault::StopRouter, Fault::LeaveEngine].contains(&second.0);
+        let first = random_fault(&mut rng);
+        // Planned stops and drains run alone, so that their effects can be attributed.
+        let alone = [Fault::StopRouter, Fault::DrainEngine].contains(&first.0);
+        let second = random_fault(&mut rng);
+        let alone = alone || [Fault::StopRouter, Fault::DrainEngine].contains(&second.0);
         if alone || rng.random_bool(0.5) {
-            inject(world, first, &mut rng).await;
+            inject(harness, first, &mut rng).await;
             continue;
         }
         let mut other: SmallRng = rand::SeedableRng::seed_from_u64(rng.random());
         futures_util::join!(
-            inject(world, first, &mut rng),
-            inject(world, second, &mut other)
+            inject(harness, first, &mut rng),
+            inject(harness, second, &mut other)
         );
     }
 }
 
-fn draw(rng: &mut SmallRng) -> (Fault, &'static str) {
+fn random_fault(rng: &mut SmallRng) -> (Fault, &'static str) {
     FAULTS[rng.random_range(0..FAULTS.len())]
 }
 
-async fn inject(world: &World, (fault, name): (Fault, &'static str), rng: &mut SmallRng) {
-    world.count(name);
-    let router = rng.random_range(0..world.callers.len());
-    let engine = rng.random_range(0..world.engines.len());
-    let plain = rng.random_range(0..world.plains.len());
+async fn inject(harness: &Harness, (fault, name): (Fault, &'static str), rng: &mut SmallRng) {
+    harness.count_fault(name);
+    let router = rng.random_range(0..harness.callers.len());
+    let engine = rng.random_range(0..harness.engines.len());
+    let plain = rng.random_range(0..harness.plains.len());
     let ms = rng.random_range(200..3_000);
     let n: u32 = rng.random_range(1..20);
     match fault {
-        Fault::KillRouter => kill_router(world, router, ms).await,
-        Fault::FreezeRouter => freeze_router(world, router, ms).await,
-        Fault::StopRouter => stop_router(world, router).await,
-        Fault::KillEngine => kill_engine(world, engine, ms).await,
+        Fault::KillRouter => kill_router(harness, router, ms).await,
+        Fault::FreezeRouter => freeze_router(harness, router, ms).await,
+        Fault::StopRouter => stop_router(harness, router).await,
+        Fault::KillEngine => kill_engine(harness, engine, ms).await,
         Fault::FreezeEngine => {
-            world.fleet.borrow().engines[engine].freeze();
+            harness.fleet.borrow().engines[engine].freeze();
             sleep_ms(ms).await;
-            world.fleet.borrow().engines[engine].wake();
+            harness.fleet.borrow().engines[engine].wake();
         }
         Fault::FlapEngine => {
             for _ in 0..3 {
-                kill_engine(world, engine, ms / 5).await;
+                kill_engine(harness, engine, ms / 5).await;
                 sleep_ms(ms / 5).await;
             }
         }
         Fault::KillPlain => {
-            world.fleet.borrow_mut().plains[plain].kill();
+            harness.fleet.borrow_mut().plains[plain].kill();
             sleep_ms(ms).await;
-            restart_plain(world, plain);
+            restart_plain(harness, plain);
         }
         Fault::CutEngine => {
-            relay(world, Kind::Engine, engine, json!({ "cut": true })).await;
+            set_relay_knobs(harness, Kind::Engine, engine, json!({ "cut": true })).await;
         }
         Fault::SlowEngine => {
-            relay(world, Kind::Engine, engine, json!({ "delay_ms": n })).await;
+            set_relay_knobs(harness, Kind::Engine, engine, json!({ "delay_ms": n })).await;
             sleep_ms(ms).await;
-            relay(world, Kind::Engine, engine, json!({})).await;
+            set_relay_knobs(harness, Kind::Engine, engine, json!({})).await;
         }
-        Fault::CrossAnswers => engine_fault(world, engine, "cross_answers", n).await,
-        Fault::CutStreams => engine_fault(world, engine, "cut_streams", n).await,
-        Fault::CrashOnRequest => crash_on_request(world, ms).await,
-        Fault::LosePlainReplies => {
+        Fault::CrossAnswers => engine_fault(harness, engine, "cross_answers", n).await,
+        Fault::CutStreams => engine_fault(harness, engine, "cut_streams", n).await,
+        Fault::CrashOnRequest => crash_on_request(harness, ms).await,
+        Fault::DropPlainReplies => {
             post(
-                world.plains[plain],
+                harness.plains[plain],
                 "/knobs",
                 &json!({ "drop_replies": n }).to_string(),
             )
             .await;
         }
-        Fault::LogOutage => platform(world, json!({ "outage": true }), ms).await,
-        Fault::SlowLog => platform(world, json!({ "delay_ms": n * 20 }), ms).await,
-        Fault::LoseLogReplies => platform(world, json!({ "drop_replies": n }), ms).await,
-        Fault::CutOffFromLog => {
+        Fault::LogOutage => platform_fault(harness, json!({ "outage": true }), ms).await,
+        Fault::SlowLog => platform_fault(harness, json!({ "delay_ms": n * 20 }), ms).await,
+        Fault::DropLogReplies => platform_fault(harness, json!({ "drop_replies": n }), ms).await,
+        Fault::PartitionFromLog => {
             let knobs = json!({ "refuse": true, "cut": true });
-            relay(world, Kind::Platform, router, knobs).await;
+            set_relay_knobs(harness, Kind::Platform, router, knobs).await;
             sleep_ms(ms).await;
-            relay(world, Kind::Platform, router, json!({})).await;
+            set_relay_knobs(harness, Kind::Platform, router, json!({})).await;
         }
-        Fault::LeaveEngine => leave_engine(world, engine).await,
-        Fault::Surge => surge(world, rng.random()).await,
+        Fault::DrainEngine => drain_engine(harness, engine).await,
+        Fault::Surge => surge(harness, rng.random()).await,
     }
 }
 
-fn small(n: usize) -> u8 {
+fn to_u8(n: usize) -> u8 {
     u8::try_from(n).unwrap_or(u8::MAX)
 }
 
-fn restart_router(world: &World, router: usize) {
-    world.fleet.borrow_mut().restart_router(small(router));
-    world.starts.borrow_mut()[router] += 1;
+fn restart_router(harness: &Harness, router: usize) {
+    harness.fleet.borrow_mut().restart_router(to_u8(router));
+    harness.starts.borrow_mut()[router] += 1;
 }
 
-fn restart_engine(world: &World, engine: usize) {
+fn restart_engine(harness: &Harness, engine: usize) {
     let knobs = engine_knobs().to_string();
-    world
+    harness
         .fleet
         .borrow_mut()
-        .restart_engine(small(engine), &knobs);
+        .restart_engine(to_u8(engine), &knobs);
 }
 
-fn restart_plain(world: &World, plain: usize) {
-    world.fleet.borrow_mut().restart_plain(small(plain), "{}");
+fn restart_plain(harness: &Harness, plain: usize) {
+    harness.fleet.borrow_mut().restart_plain(to_u8(plain), "{}");
 }
 
-async fn kill_router(world: &World, router: usize, ms: u64) {
-    let from_ms = world.now_ms();
-    world.fleet.borrow_mut().routers[router].kill();
+async fn kill_router(harness: &Harness, router: usize, ms: u64) {
+    let from_ms = harness.now_ms();
+    harness.fleet.borrow_mut().routers[router].kill();
     sleep_ms(ms).await;
-    restart_router(world, router);
-    let to_ms = world.now_ms();
-    world
+    restart_router(harness, router);
+    let to_ms = harness.now_ms();
+    harness
         .ledger
         .borrow_mut()
         .router_faults_ms
         .push((from_ms, to_ms));
 }
 
-async fn freeze_router(world: &World, router: usize, ms: u64) {
-    let from_ms = world.now_ms();
-    world.fleet.borrow().routers[router].freeze();
+async fn freeze_router(harness: &Harness, router: usize, ms: u64) {
+    let from_ms = harness.now_ms();
+    harness.fleet.borrow().routers[router].freeze();
     sleep_ms(ms).await;
-    world.fleet.borrow().routers[router].wake();
-    let to_ms = world.now_ms();
-    world
+    harness.fleet.borrow().routers[router].wake();
+    let to_ms = harness.now_ms();
+    harness
         .ledger
         .borrow_mut()
         .router_faults_ms
         .push((from_ms, to_ms));
 }
 
-/// A planned stop, then a new host in its place.
-async fn stop_router(world: &World, router: usize) {
-    let at_ms = world.now_ms();
-    world.fleet.borrow().routers[router].terminate();
+/// Stops a router as planned, then starts a replacement.
+async fn stop_router(harness: &Harness, router: usize) {
+    let at_ms = harness.now_ms();
+    harness.fleet.borrow().routers[router].terminate();
     let mut exited_ms = None;
-    while exited_ms.is_none() && world.now_ms() < at_ms + STOP_LIMIT_MS {
+    while exited_ms.is_none() && harness.now_ms() < at_ms + STOP_LIMIT_MS {
         sleep_ms(STEP_MS).await;
-        let exited = world.fleet.borrow_mut().routers[router].exited();
-        exited_ms = exited.map(|_| world.now_ms());
+        let exited = harness.fleet.borrow_mut().routers[router].exited();
+        exited_ms = exited.map(|_| harness.now_ms());
     }
-    let router_name = small(router);
-    world.ledger.borrow_mut().stops.push(Stop {
-        router: router_name,
+    let router_index = to_u8(router);
+    harness.ledger.borrow_mut().stops.push(PlannedStop {
+        router: router_index,
         at_ms,
         exited_ms,
     });
-    restart_router(world, router);
+    restart_router(harness, router);
 }
 
-async fn kill_engine(world: &World, engine: usize, ms: u64) {
-    world.fleet.borrow_mut().engines[engine].kill();
+async fn kill_engine(harness: &Harness, engine: usize, ms: u64) {
+    harness.fleet.borrow_mut().engines[engine].kill();
     sleep_ms(ms).await;
-    restart_engine(world, engine);
+    restart_engine(harness, engine);
 }
 
-async fn engine_fault(world: &World, engine: usize, knob: &str, n: u32) {
+async fn engine_fault(harness: &Harness, engine: usize, knob: &str, n: u32) {
     let mut knobs = engine_knobs();
     knobs[knob] = n.into();
-    // The engine may be dead by another fault.
-    post(world.engines[engine], "/knobs", &knobs.to_string()).await;
+    // Another fault may have killed the engine, so a failure is ignored.
+    post(harness.engines[engine], "/knobs", &knobs.to_string()).await;
 }
 
-/// A request crashes each engine that runs it; its caller sends it again.
-async fn crash_on_request(world: &World, ms: u64) {
-    world.crashers.set(2);
+/// Sends requests that crash each engine that runs them, then restarts the engines.
+async fn crash_on_request(harness: &Harness, ms: u64) {
+    harness.crash_requests_left.set(2);
     sleep_ms(ms).await;
-    world.crashers.set(0);
-    restart_dead(world);
+    harness.crash_requests_left.set(0);
+    restart_exited(harness);
 }
 
-/// Starts again what has died by itself.
-fn restart_dead(world: &World) {
-    for engine in 0..world.engines.len() {
-        let dead = world.fleet.borrow_mut().engines[engine].exited().is_some();
-        if dead {
-            restart_engine(world, engine);
+/// Restarts engines that have exited.
+fn restart_exited(harness: &Harness) {
+    for engine in 0..harness.engines.len() {
+        let has_exited = harness.fleet.borrow_mut().engines[engine]
+            .exited()
+            .is_some();
+        if has_exited {
+            restart_engine(harness, engine);
         }
     }
 }
 
-async fn platform(world: &World, knobs: Value, ms: u64) {
-    post(world.platform, "/knobs", &knobs.to_string()).await;
+async fn platform_fault(harness: &Harness, knobs: Value, ms: u64) {
+    post(harness.platform, "/knobs", &knobs.to_string()).await;
     sleep_ms(ms).await;
-    post(world.platform, "/knobs", "{}").await;
+    post(harness.platform, "/knobs", "{}").await;
 }
 
 enum Kind {
@@ -259,9 +264,9 @@
     Platform,
 }
 
-async fn relay(world: &World, kind: Kind, i: usize, knobs: Value) {
+async fn set_relay_knobs(harness: &Harness, kind: Kind, i: usize, knobs: Value) {
     let control = {
-        let fleet = world.fleet.borrow();
+        let fleet = harness.fleet.borrow();
         let relays: &[Relay] = match kind {
             Kind::Engine => &fleet.engine_relays,
             Kind::Platform => &fleet.platform_relays,
@@ -271,43 +276,44 @@
     post(control, "/knobs", &knobs.to_string()).await;
 }
 
-/// Marks an engine as leaving, waits until that is in force everywhere, and watches for new work.
-async fn leave_engine(world: &World, engine: usize) {
-    let name = world.fleet.borrow().engines[engine].name.clone();
-    let addr = world.fleet.borrow().engine_addr(engine);
-    let mut leaving = upstream_at(&name, "draft", engine, addr);
-    let back = Op::PutUpstream(leaving.clone());
-    leaving.draining = true;
-    let Some(version) = accept(world, Op::PutUpstream(leaving)).await else {
+/// Drains an engine, waits until that is in force at every router, and counts new requests.
+async fn drain_engine(harness: &Harness, engine: usize) {
+    let name = harness.fleet.borrow().engines[engine].name.clone();
+    let addr = harness.fleet.borrow().engine_addr(engine);
+    let mut draining_engine = upstream_at(&name, "draft", engine, addr);
+    let restored = Op::PutUpstream(draining_engine.clone());
+    draining_engine.draining = true;
+    let Some(version) = apply_until_accepted(harness, Op::PutUpstream(draining_engine)).await
+    else {
         return;
     };
-    let in_force_ms = in_force(world, version).await;
+    let in_force_ms = wait_in_force(harness, version).await;
     if in_force_ms.is_some() {
-        // Requests that were let in before may still be on their way over the last hop.
+        // Requests that routers admitted earlier may not have reached the engine yet.
         sleep_ms(STEP_MS * 4).await;
-        let before = world.fleet.borrow().runs().at(&name);
-        sleep_ms(LEAVE_WATCH_MS).await;
-        let after = world.fleet.borrow().runs().at(&name);
+        let before = harness.fleet.borrow().runs().at(&name);
+        sleep_ms(DRAIN_WATCH_MS).await;
+        let after = harness.fleet.borrow().runs().at(&name);
         let new_runs = after - before;
-        world.ledger.borrow_mut().leaves.push(Leave {
+        harness.ledger.borrow_mut().drains.push(UpstreamDrain {
             upstream: name,
             new_runs,
             in_force_ms,
         });
     } else {
-        world.ledger.borrow_mut().leaves.push(Leave {
+        harness.ledger.borrow_mut().drains.push(UpstreamDrain {
             upstream: name,
             new_runs: 0,
             in_force_ms,
         });
     }
-    accept(world, back).await;
+    apply_until_accepted(harness, restored).await;
 }
 
-/// Applies a change, against racing operators, until it is accepted.
-async fn accept(world: &World, op: Op) -> Option<u64> {
+/// Applies a change until it is accepted; concurrent operators may win the race for a version.
+async fn apply_until_accepted(harness: &Harness, op: Op) -> Option<u64> {
     for i in 0..40 {
-        let addr = world.operators[i % world.operators.len()];
+        let addr = harness.operators[i % harness.operators.len()];
         if let Ok(reply) = apply_at(addr, op.clone()).await
             && reply.accepted
         {
@@ -318,52 +324,53 @@
     None
 }
 
-async fn in_force(world: &World, version: u64) -> Option<u64> {
-    let from_ms = world.now_ms();
-    for router in 0..world.admins.len() {
-        while world.version(router).await < Some(version) {
-            if world.now_ms() > from_ms + IN_FORCE_LIMIT_MS {
+async fn wait_in_force(harness: &Harness, version: u64) -> Option<u64> {
+    let from_ms = harness.now_ms();
+    for router in 0..harness.admins.len() {
+        while harness.version(router).await < Some(version) {
+            if harness.now_ms() > from_ms + IN_FORCE_LIMIT_MS {
                 return None;
             }
             sleep_ms(STEP_MS).await;
         }
     }
-    Some(world.now_ms() - from_ms)
+    Some(harness.now_ms() - from_ms)
 }
 
-/// Many callers of the largest account at once, in a few chats; only the engines' load shows it.
-async fn surge(world: &World, salt: u32) {
+/// Sends many concurrent requests of the largest account in a few chats. They are not recorded, and
+/// show only in the engines' load.
+async fn surge(harness: &Harness, salt: u32) {
     let calls = (0..SURGE_CALLS).map(|n| async move {
         let caller = Caller::new(LARGEST_KEY);
-        let addr = world.callers[n as usize % world.callers.len()];
+        let addr = harness.callers[n as usize % harness.callers.len()];
         let body = chat_body(&format!("hot-{}", n % 3), &format!("surge {salt} {n}"), 30);
         let call = caller.chat(addr, &body);
-        let patience = std::time::Duration::from_secs(15);
-        let _ = compio::time::timeout(patience, call).await;
+        let call_timeout = std::time::Duration::from_secs(15);
+        let _ = compio::time::timeout(call_timeout, call).await;
     });
     futures_util::future::join_all(calls).await;
 }
 
-/// Ends every fault and starts again what is down.
-pub(crate) async fn heal(world: &World) {
-    post(world.platform, "/knobs", "{}").await;
-    for i in 0..world.engines.len() {
-        relay(world, Kind::Engine, i, json!({})).await;
-        world.fleet.borrow().engines[i].wake();
+/// Clears every fault and restarts exited processes.
+pub(crate) async fn clear_all(harness: &Harness) {
+    post(harness.platform, "/knobs", "{}").await;
+    for i in 0..harness.engines.len() {
+        set_relay_knobs(harness, Kind::Engine, i, json!({})).await;
+        harness.fleet.borrow().engines[i].wake();
     }
-    restart_dead(world);
-    for i in 0..world.callers.len() {
-        relay(world, Kind::Platform, i, json!({})).await;
-        world.fleet.borrow().routers[i].wake();
-        let dead = world.fleet.borrow_mut().routers[i].exited().is_some();
-        if dead {
-            restart_router(world, i);
+    restart_exited(harness);
+    for i in 0..harness.callers.len() {
+        set_relay_knobs(harness, Kind::Platform, i, json!({})).await;
+        harness.fleet.borrow().routers[i].wake();
+        let has_exited = harness.fleet.borrow_mut().routers[i].exited().is_some();
+        if has_exited {
+            restart_router(harness, i);
         }
     }
-    for addr in world.engines.iter() {
+    for addr in harness.engines.iter() {
         post(*addr, "/knobs", &engine_knobs().to_string()).await;
     }
-    for addr in &world.plains {
+    for addr in &harness.plains {
         post(*addr, "/knobs", "{}").await;
     }
 }
--- a/examples/longrun/world.rs
+++ b/examples/longrun/harness.rs
@@ -1,4 +1,4 @@
-//! The fleet, the time, and the tasks that act on it.
+//! The fleet under test, the clock, and the tasks that apply load and faults.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 const CALLERS: u64 = 60;
 const SMALL_CALLERS: u64 = 20;
 
-/// What all tasks of the run share.
-pub(crate) struct World {
-    /// Borrowed only between two awaits.
+/// State shared by all tasks of the run.
+pub(crate) struct Harness {
+    /// Must not be borrowed across an await.
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) ledger: RefCell<Ledger>,
     pub(crate) callers: Vec<SocketAddr>,
@@ -29,30 +29,30 @@
     pub(crate) engines: Vec<SocketAddr>,
     pub(crate) plains: Vec<SocketAddr>,
     pub(crate) platform: SocketAddr,
-    /// How often each router was started.
+    /// Number of starts of each router.
     pub(crate) starts: RefCell<Vec<u32>>,
-    /// The load goes on.
-    pub(crate) loading: Cell<bool>,
-    /// A few requests carry the text that crashes engines.
-    pub(crate) crashers: Cell<u32>,
+    /// Whether callers and operators continue.
+    pub(crate) load_active: Cell<bool>,
+    /// Number of requests still to send with the text that crashes engines.
+    pub(crate) crash_requests_left: Cell<u32>,
     start: Instant,
     pub(crate) end_ms: u64,
 }
 
-impl World {
+impl Harness {
     pub(crate) fn now_ms(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    pub(crate) fn over(&self) -> bool {
+    pub(crate) fn is_over(&self) -> bool {
         self.now_ms() >= self.end_ms
     }
 
-    pub(crate) fn count(&self, fault: &'static str) {
+    pub(crate) fn count_fault(&self, fault: &'static str) {
         *self.ledger.borrow_mut().faults.entry(fault).or_default() += 1;
     }
 
-    /// The version in force at a router, if it answers.
+    /// Returns the version in force at a router, or `None` if the router doesn't respond.
     pub(crate) async fn version(&self, router: usize) -> Option<u64> {
         let ask = get(self.admins[router], "/readyz");
         let text = compio::time::timeout(Duration::from_millis(500), ask).await;
@@ -61,7 +61,7 @@
     }
 }
 
-/// The shape of one of the users' fleets: the seed says which.
+/// Returns the size of one of the users' fleets, chosen by the seed.
 fn options(args: &Args) -> Options {
     let (routers, engines, plains) = match (args.small, args.seed % 2) {
         (true, _) => (4, 4, 2),
@@ -75,12 +75,12 @@
     options
 }
 
-/// Runs load and faults until the time is up, then heals everything and judges.
+/// Runs load and faults until the time is up, then clears all faults and evaluates the records.
 pub(crate) async fn run(args: &Args) -> Verdict {
     let options = options(args);
     let shape = options.shape;
     let fleet = Fleet::start_with(options).await;
-    let world = Rc::new(World {
+    let harness = Rc::new(Harness {
         callers: (0..shape.routers).map(|i| fleet.caller(i)).collect(),
         admins: (0..shape.routers).map(|i| fleet.admin(i)).collect(),
         operators: (0..shape.routers).map(|i| fleet.operator_addr(i)).collect(),
@@ -90,40 +90,40 @@
         starts: RefCell::new(vec![1; usize::from(shape.routers)]),
         fleet: RefCell::new(fleet),
         ledger: RefCell::default(),
-        loading: Cell::new(true),
-        crashers: Cell::new(0),
+        load_active: Cell::new(true),
+        crash_requests_left: Cell::new(0),
         start: Instant::now(),
         end_ms: args.seconds * 1_000,
     });
     let mut rng = SmallRng::seed_from_u64(args.seed);
     let callers = if args.small { SMALL_CALLERS } else { CALLERS };
     let callers: Vec<_> = (0..callers)
-        .map(|n| load::caller(world.clone(), n, SmallRng::seed_from_u64(rng.random())))
+        .map(|n| load::caller(harness.clone(), n, SmallRng::seed_from_u64(rng.random())))
         .collect();
     let operators =
-        (0..2).map(|n| load::operator(&world, n, SmallRng::seed_from_u64(rng.random())));
+        (0..2).map(|n| load::operator(&harness, n, SmallRng::seed_from_u64(rng.random())));
     let operators: Vec<_> = operators.collect();
-    let watches = (0..world.admins.len()).map(|i| load::watch_version(&world, i));
+    let watches = (0..harness.admins.len()).map(|i| load::watch_version(&harness, i));
     let faults = async {
-        faults::run(&world, rng).await;
-        faults::heal(&world).await;
-        // Callers see the healed fleet for a moment before they stop.
+        faults::run(&harness, rng).await;
+        faults::clear_all(&harness).await;
+        // Callers continue for 2 s after the faults are cleared.
         sleep_ms(2_000).await;
-        world.loading.set(false);
+        harness.load_active.set(false);
     };
     futures_util::join!(
         join_all(callers),
         join_all(operators),
         join_all(watches),
-        load::watch_skew(&world),
+        load::watch_skew(&harness),
         faults,
     );
     if args.keep {
-        world.fleet.borrow_mut().dir.disable_cleanup(true);
+        harness.fleet.borrow_mut().dir.disable_cleanup(true);
         println!(
             "output kept in {}",
-            world.fleet.borrow().dir.path().display()
+            harness.fleet.borrow().dir.path().display()
         );
     }
-    verdict::judge(&world, args).await
+    verdict::evaluate(&harness, args).await
 }
--- a/examples/longrun/ledger.rs
+++ b/examples/longrun/ledger.rs
@@ -1,52 +1,52 @@
-//! What every caller was told, written down as the run goes.
+//! Records of all requests and faults, collected during the run.
 
 use std::collections::BTreeMap;
 
 use crate::support::Told;
 
-/// What a request was.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum What {
+pub(crate) enum RequestKind {
     Chat,
     Lookup,
     Entry,
 }
 
-/// One call and its outcome.
+/// One request and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
-    pub(crate) what: What,
-    /// Empty when no answer began.
+    pub(crate) kind: RequestKind,
+    /// Empty if no response began.
     pub(crate) request_id: String,
-    /// Empty but for entries.
+    /// Idempotency key; empty unless the request is an entry.
     pub(crate) key: String,
-    pub(crate) told: Told,
-    /// What came belongs to the request.
-    pub(crate) own_content: bool,
-    /// An answer had begun.
+    pub(crate) result: Told,
+    /// Whether the content of the response belongs to the request.
+    pub(crate) content_matches: bool,
+    /// Whether a successful response had begun.
     pub(crate) began: bool,
     pub(crate) router: u8,
     pub(crate) from_ms: u64,
     pub(crate) to_ms: u64,
-    /// The caller came back at the time that a refusal told it.
-    pub(crate) came_back: bool,
+    /// Whether this is a retry at the time given by a refusal.
+    pub(crate) is_retry: bool,
 }
 
 /// A planned stop of a router.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct PlannedStop {
     pub(crate) router: u8,
     pub(crate) at_ms: u64,
     pub(crate) exited_ms: Option<u64>,
 }
 
-/// New work that a leaving upstream got.
+/// New requests that a draining upstream received.
 #[derive(Clone, Debug)]
-pub(crate) struct Leave {
+pub(crate) struct UpstreamDrain {
     pub(crate) upstream: String,
-    /// Runs after every router had the change in force.
+    /// Number of runs after the drain was in force at every router.
     pub(crate) new_runs: usize,
-    /// How long that took; `None` if it didn't within the limit.
+    /// Time until the drain was in force at every router; `None` if that exceeded the limit.
     pub(crate) in_force_ms: Option<u64>,
 }
 
@@ -54,14 +54,14 @@
 pub(crate) struct Ledger {
     pub(crate) outcomes: Vec<Outcome>,
     pub(crate) faults: BTreeMap<&'static str, u32>,
-    /// When something else than a planned stop ended or froze a router.
+    /// Periods in which a router was killed or frozen, other than by a planned stop.
     pub(crate) router_faults_ms: Vec<(u64, u64)>,
-    pub(crate) stops: Vec<Stop>,
-    pub(crate) leaves: Vec<Leave>,
-    /// Accounts whose creation was told as accepted.
+    pub(crate) stops: Vec<PlannedStop>,
+    pub(crate) drains: Vec<UpstreamDrain>,
+    /// Accounts whose creation was reported as accepted.
     pub(crate) accepted: Vec<String>,
-    /// Versions that went down at one router without a restart.
+    /// Decreases of a router's version without a restart.
     pub(crate) reverts: Vec<String>,
-    /// Busiest engine over the mean, sampled.
+    /// Samples of the load of the busiest engine divided by the mean.
     pub(crate) skews: Vec<f64>,
 }
--- a/examples/longrun/main.rs
+++ b/examples/longrun/main.rs
@@ -1,5 +1,5 @@
-//! A long randomised run: a whole fleet as processes, mixed load, faults drawn from a seed, and a
-//! verdict held against the upstreams' own records.
+//! A long randomised run: a whole fleet of processes under mixed load, faults chosen by a seed, and
+//! a verdict based on the upstreams' own records.
 //!
 //! `cargo run --release --example longrun -- --seed 7 --seconds 60`
 
@@ -7,35 +7,35 @@
 mod support;
 
 mod faults;
+mod harness;
 mod ledger;
 mod load;
 mod verdict;
-mod world;
 
 use std::process::ExitCode;
 
 use bpaf::{Bpaf, Parser};
 
-/// Runs a fleet of processes under load and faults, and checks what callers were told
+/// Runs a fleet of processes under load and faults, and checks the responses that callers received
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 pub(crate) struct Args {
-    /// Draws the faults and the load
+    /// Seed of the faults and the load
     #[bpaf(long, argument("N"))]
     pub(crate) seed: u64,
-    /// How long the load lasts
+    /// Duration of the load, in seconds
     #[bpaf(long, argument("S"), fallback(60))]
     pub(crate) seconds: u64,
-    /// Four routers and six upstreams, for a slow machine
+    /// Use only four routers and six upstreams, for a slow machine
     #[bpaf(long)]
     pub(crate) small: bool,
-    /// Keep the processes' output in a directory of the system's choice
+    /// Keep the output of the processes in a temporary directory
     #[bpaf(long)]
     pub(crate) keep: bool,
 }
 
 fn main() -> ExitCode {
-    // The program starts itself again as each process of the fleet.
+    // The program also runs as each process of the fleet.
     match std::env::args().nth(1).as_deref() {
         Some("router") => {
             let parser = cassiagrade::cmd::router::args().to_options();
@@ -59,10 +59,10 @@
 fn long_run(args: &Args) -> ExitCode {
     let runtime = compio::runtime::Runtime::new();
     let Ok(runtime) = runtime else {
-        eprintln!("no runtime");
+        eprintln!("can't start the async runtime");
         return ExitCode::FAILURE;
     };
-    let verdict = runtime.block_on(world::run(args));
+    let verdict = runtime.block_on(harness::run(args));
     print!("{verdict}");
     if verdict.passed() {
         return ExitCode::SUCCESS;
--- a/examples/longrun/verdict.rs
+++ b/examples/longrun/verdict.rs
@@ -1,28 +1,28 @@
-//! Holds what callers were told against what upstreams recorded.
+//! Compares the responses that callers received with the runs that upstreams recorded.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
 use crate::Args;
-use crate::ledger::{Ledger, Outcome, What};
+use crate::harness::Harness;
+use crate::ledger::{Ledger, Outcome, RequestKind};
 use crate::support::{
     ACCOUNT_KEY, Caller, OPERATOR_KEY, Runs, Told, chat_body, expected_answer, sleep_ms,
 };
-use crate::world::World;
 use cassiagrade::serve::operator::OperatorCaller;
 
 const RECOVERY_CALLS: u32 = 20;
-const RECOVERY_TRIES: u32 = 40;
-const SHOWN: usize = 5;
+const RECOVERY_ATTEMPTS: u32 = 40;
+const MAX_SHOWN: usize = 5;
 
-/// One must-hold, and what breaks it.
+/// One guarantee and its violations.
 struct Check {
     name: &'static str,
     checked: usize,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-/// What a run showed.
+/// Result of a run.
 pub(crate) struct Verdict {
     seed: u64,
     seconds: u64,
@@ -32,7 +32,7 @@
 
 impl Verdict {
     pub(crate) fn passed(&self) -> bool {
-        self.checks.iter().all(|c| c.broken.is_empty())
+        self.checks.iter().all(|c| c.violations.is_empty())
     }
 }
 
@@ -42,14 +42,17 @@
             writeln!(f, "  {figure}")?;
         }
         for check in &self.checks {
-            let mark = if check.broken.is_empty() {
+            let label = if check.violations.is_empty() {
                 "holds"
             } else {
                 "BROKEN"
             };
-            let (name, checked, broken) = (check.name, check.checked, check.broken.len());
-            writeln!(f, "  {mark:<6} {name}: {checked} checked, {broken} broken")?;
-            for text in check.broken.iter().take(SHOWN) {
+            let (name, checked, violations) = (check.name, check.checked, check.violations.len());
+            writeln!(
+                f,
+                "  {label:<6} {name}: {checked} checked, {violations} broken"
+            )?;
+            for text in check.violations.iter().take(MAX_SHOWN) {
                 writeln!(f, "         {text}")?;
             }
         }
@@ -58,16 +61,16 @@
     }
 }
 
-pub(crate) async fn judge(world: &World, args: &Args) -> Verdict {
-    let runs = world.fleet.borrow().runs();
-    let recovered = recovery(world).await;
-    let configuration = configuration(world).await;
-    let ledger = world.ledger.borrow();
+pub(crate) async fn evaluate(harness: &Harness, args: &Args) -> Verdict {
+    let runs = harness.fleet.borrow().runs();
+    let recovered = recovery(harness).await;
+    let configuration = configuration(harness).await;
+    let ledger = harness.ledger.borrow();
     let checks = vec![
-        own_answers(&ledger),
+        answers_match(&ledger),
         not_run(&ledger, &runs),
         at_most_once(&ledger, &runs),
-        leaving(&ledger),
+        draining_upstreams(&ledger),
         planned_stops(&ledger),
         configuration,
         reverts(&ledger),
@@ -84,20 +87,20 @@
 fn check<'a>(
     name: &'static str,
     outcomes: impl Iterator<Item = &'a Outcome>,
-    broken: impl Fn(&Outcome) -> Option<String>,
+    violation: impl Fn(&Outcome) -> Option<String>,
 ) -> Check {
     let outcomes: Vec<&Outcome> = outcomes.collect();
     Check {
         name,
         checked: outcomes.len(),
-        broken: outcomes.iter().filter_map(|o| broken(o)).collect(),
+        violations: outcomes.iter().filter_map(|o| violation(o)).collect(),
     }
 }
 
-fn own_answers(ledger: &Ledger) -> Check {
-    let served = ledger.outcomes.iter().filter(|o| o.told == Told::Served);
-    check("whole answers are the caller's own", served, |o| {
-        (!o.own_content).then(|| format!("{o:?}"))
+fn answers_match(ledger: &Ledger) -> Check {
+    let served = ledger.outcomes.iter().filter(|o| o.result == Told::Served);
+    check("complete answers belong to their request", served, |o| {
+        (!o.content_matches).then(|| format!("{o:?}"))
     })
 }
 
@@ -106,74 +109,85 @@
     for run in &runs.all {
         *counts.entry(&run.request_id).or_default() += 1;
     }
-    let refused = ledger.outcomes.iter().filter(|o| told_not_run(o));
-    check("\"not run\" is true", refused, |o| {
-        let ran = counts.get(o.request_id.as_str()).copied().unwrap_or(0);
-        (ran > 0).then(|| format!("ran {ran} times: {o:?}"))
-    })
+    let refused = ledger.outcomes.iter().filter(|o| is_reported_not_run(o));
+    check(
+        "requests reported as \"not run\" did not run",
+        refused,
+        |o| {
+            let ran = counts.get(o.request_id.as_str()).copied().unwrap_or(0);
+            (ran > 0).then(|| format!("ran {ran} times: {o:?}"))
+        },
+    )
 }
 
-fn told_not_run(outcome: &Outcome) -> bool {
-    matches!(&outcome.told, Told::Refused { run_state, .. } if run_state == "not_run")
+fn is_reported_not_run(outcome: &Outcome) -> bool {
+    matches!(&outcome.result, Told::Refused { run_state, .. } if run_state == "not_run")
 }
 
 fn at_most_once(ledger: &Ledger, runs: &Runs) -> Check {
     let counts = runs.by_key();
     let mut last: BTreeMap<&str, &Outcome> = BTreeMap::new();
-    for outcome in ledger.outcomes.iter().filter(|o| o.what == What::Entry) {
+    for outcome in ledger
+        .outcomes
+        .iter()
+        .filter(|o| o.kind == RequestKind::Entry)
+    {
         last.insert(&outcome.key, outcome);
     }
     check(
-        "entries run at most once, as told",
+        "entries run at most once, as reported",
         last.into_values(),
         |o| {
             let ran = counts.get(o.key.as_str()).copied().unwrap_or(0);
-            let untrue = match o.told {
+            let violated = match o.result {
                 Told::Served => ran != 1,
-                _ if told_not_run(o) => ran > 0,
+                _ if is_reported_not_run(o) => ran > 0,
                 _ => ran > 1,
             };
-            untrue.then(|| format!("ran {ran} times: {o:?}"))
+            violated.then(|| format!("ran {ran} times: {o:?}"))
         },
     )
 }
 
-fn leaving(ledger: &Ledger) -> Check {
-    let broken = ledger.leaves.iter().filter(|l| l.new_runs > 0);
+fn draining_upstreams(ledger: &Ledger) -> Check {
+    let violations = ledger.drains.iter().filter(|l| l.new_runs > 0);
     Check {
-        name: "leaving upstreams get nothing new",
-        checked: ledger.leaves.len(),
-        broken: broken
+        name: "draining upstreams get no new requests",
+        checked: ledger.drains.len(),
+        violations: violations
             .map(|l| format!("{}: {} new runs", l.upstream, l.new_runs))
             .collect(),
     }
 }
 
-/// Answers that had begun when their router was told to stop must have come whole.
+/// Responses that had begun when their router was stopped must be complete.
 fn planned_stops(ledger: &Ledger) -> Check {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for stop in &ledger.stops {
         if stop.exited_ms.is_none() {
-            broken.push(format!("router {} never ended", stop.router));
+            violations.push(format!(
+                "router {} did not exit within the limit",
+                stop.router
+            ));
         }
         let end_ms = stop.exited_ms.unwrap_or(u64::MAX);
-        let disturbed = |o: &Outcome| {
+        let overlaps_router_fault = |o: &Outcome| {
             let faults = &ledger.router_faults_ms;
             faults
                 .iter()
                 .any(|(from, to)| *from <= o.to_ms && o.from_ms <= *to)
         };
         let cut = ledger.outcomes.iter().filter(|o| {
-            let there = o.router == stop.router && o.from_ms < stop.at_ms;
-            there && o.to_ms >= stop.at_ms && o.to_ms <= end_ms + 1_000
+            let was_running = o.router == stop.router && o.from_ms < stop.at_ms;
+            was_running && o.to_ms >= stop.at_ms && o.to_ms <= end_ms + 1_000
         });
-        let cut = cut.filter(|o| o.began && o.told == Told::Cut && !disturbed(o));
-        broken.extend(cut.map(|o| format!("cut by the stop at {} ms: {o:?}", stop.at_ms)));
+        let cut = cut.filter(|o| o.began && o.result == Told::Cut && !overlaps_router_fault(o));
+        violations.extend(cut.map(|o| format!("cut by the stop at {} ms: {o:?}", stop.at_ms)));
     }
     Check {
-        name: "planned stops cut nothing",
+        name: "planned stops cut no responses",
         checked: ledger.stops.len(),
-        broken,
+        violations,
     }
 }
 
@@ -181,17 +195,17 @@
     Check {
         name: "configuration never reverts",
         checked: ledger.accepted.len(),
-        broken: ledger.reverts.clone(),
+        violations: ledger.reverts.clone(),
     }
 }
 
-/// After all faults ended, every router has every account that was accepted.
-async fn configuration(world: &World) -> Check {
-    let accepted = world.ledger.borrow().accepted.clone();
-    let mut broken = Vec::new();
-    for (i, addr) in world.operators.iter().enumerate() {
+/// After all faults are cleared, every router must have every accepted account.
+async fn configuration(harness: &Harness) -> Check {
+    let accepted = harness.ledger.borrow().accepted.clone();
+    let mut violations = Vec::new();
+    for (i, addr) in harness.operators.iter().enumerate() {
         let mut missing = accepted.clone();
-        for _ in 0..RECOVERY_TRIES {
+        for _ in 0..RECOVERY_ATTEMPTS {
             if let Ok(mut operator) = OperatorCaller::open(*addr, OPERATOR_KEY).await
                 && let Ok(state) = operator.config().await
             {
@@ -203,43 +217,43 @@
             sleep_ms(250).await;
         }
         if !missing.is_empty() {
-            broken.push(format!("router {i} lacks {missing:?}"));
+            violations.push(format!("router {i} is missing accounts {missing:?}"));
         }
     }
     Check {
         name: "accepted configuration is in force everywhere",
-        checked: accepted.len() * world.operators.len(),
-        broken,
+        checked: accepted.len() * harness.operators.len(),
+        violations,
     }
 }
 
-/// With all faults ended, every router must serve again.
-async fn recovery(world: &World) -> Check {
-    let mut broken = Vec::new();
+/// After all faults are cleared, every router must serve again.
+async fn recovery(harness: &Harness) -> Check {
+    let mut violations = Vec::new();
     for n in 0..RECOVERY_CALLS {
-        let addr = world.callers[n as usize % world.callers.len()];
+        let addr = harness.callers[n as usize % harness.callers.len()];
         let prompt = format!("after {n}");
         let body = chat_body(&format!("after-{n}"), &prompt, 5);
         let mut last = None;
-        for _ in 0..RECOVERY_TRIES {
+        for _ in 0..RECOVERY_ATTEMPTS {
             let received = Caller::new(ACCOUNT_KEY).chat(addr, &body).await;
-            let told = received.as_ref().map(crate::support::Received::told);
+            let result = received.as_ref().map(crate::support::Received::told);
             let text = received.map(|r| r.text());
-            if told == Some(Told::Served) && text == Some(expected_answer(&prompt, 5)) {
+            if result == Some(Told::Served) && text == Some(expected_answer(&prompt, 5)) {
                 last = None;
                 break;
             }
-            last = Some(told);
+            last = Some(result);
             sleep_ms(250).await;
         }
-        if let Some(told) = last {
-            broken.push(format!("{addr}: {told:?}"));
+        if let Some(result) = last {
+            violations.push(format!("{addr}: {result:?}"));
         }
     }
     Check {
         name: "the fleet serves again after the faults",
         checked: RECOVERY_CALLS as usize,
-        broken,
+        violations,
     }
 }
 
@@ -247,49 +261,51 @@
     let mut lines = Vec::new();
     let faults = ledger.faults.iter().map(|(name, n)| format!("{name} {n}"));
     lines.push(format!("faults: {}", faults.collect::<Vec<_>>().join(", ")));
-    for what in [What::Chat, What::Lookup, What::Entry] {
-        lines.push(told_of(ledger, what));
+    for kind in [RequestKind::Chat, RequestKind::Lookup, RequestKind::Entry] {
+        lines.push(outcome_summary(ledger, kind));
     }
     lines.push(format!("runs recorded by upstreams: {}", runs.all.len()));
     lines.push(refusals(ledger));
-    let back: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.came_back).collect();
-    let served = back.iter().filter(|o| o.told == Told::Served).count();
-    let share = percent(served, back.len());
+    let retries: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.is_retry).collect();
+    let served = retries.iter().filter(|o| o.result == Told::Served).count();
+    let share = percent(served, retries.len());
     lines.push(format!(
-        "came back at the told time: {}, served {share}",
-        back.len()
+        "retries at the time given by a refusal: {}, served {share}",
+        retries.len()
     ));
     let mut skews = ledger.skews.clone();
     skews.sort_unstable_by(f64::total_cmp);
     let p90 = skews.get(skews.len() * 9 / 10).copied().unwrap_or(0.0);
     lines.push(format!("skew p90 {p90:.2} over {} samples", skews.len()));
-    let in_force: Vec<u64> = ledger.leaves.iter().filter_map(|l| l.in_force_ms).collect();
+    let in_force: Vec<u64> = ledger.drains.iter().filter_map(|l| l.in_force_ms).collect();
     lines.push(format!(
-        "a leave in force everywhere after ms: {in_force:?}"
+        "drains in force at every router after ms: {in_force:?}"
     ));
     lines
 }
 
-fn told_of(ledger: &Ledger, what: What) -> String {
-    let outcomes: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.what == what).collect();
-    let count = |told: &dyn Fn(&Told) -> bool| outcomes.iter().filter(|o| told(&o.told)).count();
+fn outcome_summary(ledger: &Ledger, kind: RequestKind) -> String {
+    let outcomes: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.kind == kind).collect();
+    let count = |is_counted: &dyn Fn(&Told) -> bool| {
+        outcomes.iter().filter(|o| is_counted(&o.result)).count()
+    };
     let served = count(&|t| *t == Told::Served);
     let cut = count(&|t| *t == Told::Cut);
     let refused = outcomes.len() - served - cut;
     let share = percent(served, outcomes.len());
     format!(
-        "{what:?}: {} calls, served {served} ({share}), refused {refused}, cut {cut}",
+        "{kind:?}: {} calls, served {served} ({share}), refused {refused}, cut {cut}",
         outcomes.len()
     )
 }
 
-/// Refusals by cause and run state, with the median and the longest time to the refusal.
+/// Lists refusals by cause and run state, with the median and the longest time to the refusal.
 fn refusals(ledger: &Ledger) -> String {
     let mut by_cause: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for outcome in &ledger.outcomes {
         if let Told::Refused {
             cause, run_state, ..
-        } = &outcome.told
+        } = &outcome.result
         {
             let took_ms = outcome.to_ms - outcome.from_ms;
             by_cause
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,4 +1,5 @@
-//! Routers and stand-ins in one process: one chat request, its streamed answer and its route.
+//! Runs routers and stand-ins in one process, sends one chat request and prints its streamed answer
+//! and its route.
 
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -42,7 +43,7 @@
     Ok(())
 }
 
-/// Starts a router and adds it to the platform's list, from which the others learn of it.
+/// Starts a router and adds it to the platform's host list, where the other routers discover it.
 async fn spawn_router(i: usize, platform: &Platform) -> Result<Router, Box<dyn Error>> {
     let listen = Listen {
         caller_addr: free_addr()?,
@@ -69,13 +70,13 @@
     Ok(Router::spawn(settings, Outputs::default()).await?)
 }
 
-/// A loopback address that is free now. Real hosts have fixed ones.
+/// Returns a free loopback address. Real hosts have fixed addresses.
 fn free_addr() -> std::io::Result<String> {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     Ok(listener.local_addr()?.to_string())
 }
 
-/// Waits until every router knows all others and all engines.
+/// Waits until every router lists all routers and all engines.
 async fn ready(routers: &[Router], engines: usize) -> Result<(), Box<dyn Error>> {
     for router in routers {
         let mut operator = OperatorCaller::open(router.operator_addr, OPERATOR_KEY).await?;
@@ -90,7 +91,7 @@
     Ok(())
 }
 
-/// Asks any router which address to use for a chat.
+/// Asks a router which address to use for the chat.
 async fn entry(router: &Router) -> Result<String, Box<dyn Error>> {
     let url = format!(
         "http://{}/v1/entry?model=small&chat={CHAT}",
@@ -100,7 +101,9 @@
     let response = client.get(url)?.bearer_auth(ACCOUNT_KEY)?.send().await?;
     let reply: serde_json::Value = serde_json::from_slice(&response.bytes().await?)?;
     let first = reply["addresses"][0]["addr"].as_str();
-    Ok(first.ok_or("no address in the entry answer")?.to_owned())
+    Ok(first
+        .ok_or("the entry response contains no address")?
+        .to_owned())
 }
 
 async fn configure(router: &Router, engines: &[Engine]) -> Result<(), Box<dyn Error>> {
--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -1,5 +1,4 @@
-//! Callers that ask where to connect, keep the answer and their connections, and note what they are
-//! told.
+//! Callers that resolve router addresses, cache them, reuse connections and record every response.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,24 +12,24 @@
 use crate::support::routed::{HOST, KEY, Routed, fresh_id};
 use crate::support::{Caller, Received, get, sleep_ms};
 
-/// Callers give up after this; it is also what they tell the router.
+/// Timeout of a request, also sent to the router as its deadline.
 const DEADLINE: Duration = Duration::from_secs(4);
-/// How long an entry answer is kept; some keep theirs three times as long.
+/// Time for which resolved addresses are cached; some callers cache them three times as long.
 const ENTRY_TTL: Duration = Duration::from_millis(300);
-/// Pause between two requests of one caller, at most.
+/// Maximum pause between two requests of one caller.
 const MAX_PAUSE_MS: u64 = 60;
 
-/// What may be asked.
+/// Kinds of requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ask {
+pub(crate) enum RequestKind {
     Get,
     Ticket,
     Resumed,
     Once,
 }
 
-impl Ask {
-    pub(crate) fn runs_once(self) -> bool {
+impl RequestKind {
+    pub(crate) fn is_at_most_once(self) -> bool {
         matches!(self, Self::Ticket | Self::Once)
     }
 
@@ -48,19 +47,19 @@
     }
 }
 
-/// One request and what its caller got.
-pub(crate) struct Told {
+/// One request and the response that its caller received.
+pub(crate) struct RequestRecord {
     pub(crate) id: String,
-    pub(crate) ask: Ask,
+    pub(crate) kind: RequestKind,
     pub(crate) body: String,
-    /// Nothing when no answer began.
+    /// `None` if no response began.
     pub(crate) received: Option<Received>,
 }
 
 /// The running callers.
 pub(crate) struct Callers {
     stop: Rc<Cell<bool>>,
-    told: Rc<RefCell<Vec<Told>>>,
+    records: Rc<RefCell<Vec<RequestRecord>>>,
     running: Rc<Cell<u32>>,
 }
 
@@ -68,29 +67,29 @@
     pub(crate) fn spawn(routed: &Routed, count: u32, seed: u64) -> Self {
         let callers = Self {
             stop: Rc::default(),
-            told: Rc::default(),
+            records: Rc::default(),
             running: Rc::new(Cell::new(count)),
         };
         let entries = (0..u8::try_from(routed.routers.len()).unwrap_or(u8::MAX))
             .map(|i| routed.entry_addr(i))
             .collect::<Vec<_>>();
         for n in 0..count {
-            let one = One {
+            let task = CallerTask {
                 rng: SmallRng::seed_from_u64(seed ^ (u64::from(n) << 32)),
                 caller: Caller::new(KEY),
                 entries: entries.clone(),
                 addrs: Vec::new(),
                 fresh_until: Instant::now(),
-                // Every fourth keeps its answer longer than told.
+                // Every fourth caller caches addresses beyond their TTL.
                 ttl: ENTRY_TTL * if n % 4 == 0 { 3 } else { 1 },
             };
-            let (stop, told, running) = (
+            let (stop, records, running) = (
                 callers.stop.clone(),
-                callers.told.clone(),
+                callers.records.clone(),
                 callers.running.clone(),
             );
             compio::runtime::spawn(async move {
-                one.run(&stop, &told).await;
+                task.run(&stop, &records).await;
                 running.set(running.get() - 1);
             })
             .detach();
@@ -98,17 +97,17 @@
         callers
     }
 
-    /// Ends the load and gives what all were told.
-    pub(crate) async fn stop(self) -> Vec<Told> {
+    /// Stops all callers and returns their records.
+    pub(crate) async fn stop(self) -> Vec<RequestRecord> {
         self.stop.set(true);
         while self.running.get() > 0 {
             sleep_ms(20).await;
         }
-        self.told.take()
+        self.records.take()
     }
 }
 
-struct One {
+struct CallerTask {
     rng: SmallRng,
     caller: Caller,
     entries: Vec<SocketAddr>,
@@ -117,34 +116,34 @@
     ttl: Duration,
 }
 
-impl One {
-    async fn run(mut self, stop: &Cell<bool>, told: &RefCell<Vec<Told>>) {
+impl CallerTask {
+    async fn run(mut self, stop: &Cell<bool>, records: &RefCell<Vec<RequestRecord>>) {
         while !stop.get() {
             sleep_ms(self.rng.random_range(0..MAX_PAUSE_MS)).await;
             self.resolve().await;
             let Some(addr) = self.addrs.choose(&mut self.rng).copied() else {
                 continue;
             };
-            let one = self.ask(addr).await;
-            if one.received.is_none() {
-                // An address that failed is left out until the next answer.
+            let record = self.send_request(addr).await;
+            if record.received.is_none() {
+                // A failed address is not used again until the next resolution.
                 self.addrs.retain(|a| *a != addr);
             }
-            told.borrow_mut().push(one);
+            records.borrow_mut().push(record);
         }
     }
 
-    /// Asks up to three routers where to connect, if the last answer is old.
+    /// Resolves router addresses through up to three routers if the cached ones have expired.
     async fn resolve(&mut self) {
         if Instant::now() < self.fresh_until && !self.addrs.is_empty() {
             return;
         }
-        let asked: Vec<SocketAddr> = self
+        let chosen: Vec<SocketAddr> = self
             .entries
             .choose_multiple(&mut self.rng, 3)
             .copied()
             .collect();
-        for entry in asked {
+        for entry in chosen {
             let path = format!("/resolve?name={HOST}&region=r&zone=z");
             let answer = compio::time::timeout(Duration::from_secs(1), get(entry, &path)).await;
             let Ok(Some(text)) = answer else { continue };
@@ -158,9 +157,14 @@
         }
     }
 
-    async fn ask(&mut self, addr: SocketAddr) -> Told {
-        let asks = [Ask::Get, Ask::Ticket, Ask::Resumed, Ask::Once];
-        let ask = asks[self.rng.random_range(0..asks.len())];
+    async fn send_request(&mut self, addr: SocketAddr) -> RequestRecord {
+        let kinds = [
+            RequestKind::Get,
+            RequestKind::Ticket,
+            RequestKind::Resumed,
+            RequestKind::Once,
+        ];
+        let kind = kinds[self.rng.random_range(0..kinds.len())];
         let body = self.rng.random_range(2..30_u32).to_string();
         let id = fresh_id();
         let deadline_ms = DEADLINE.as_millis().to_string();
@@ -169,11 +173,11 @@
             ("host", HOST),
             ("deadline-ms", deadline_ms.as_str()),
         ];
-        let call = self.caller.call(addr, "POST", ask.path(), &headers, &body);
+        let call = self.caller.call(addr, "POST", kind.path(), &headers, &body);
         let received = compio::time::timeout(DEADLINE, call).await.ok().flatten();
-        Told {
+        RequestRecord {
             id,
-            ask,
+            kind,
             body,
             received,
         }
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -1,4 +1,5 @@
-//! Faults from outside the routers, drawn from a seed: in series, overlapping, each with its end.
+//! Faults injected from outside the routers, chosen by a seed. They overlap, and each is reverted
+//! after a while.
 
 use std::time::{Duration, Instant};
 
@@ -10,67 +11,68 @@
 use crate::support::routed::{Routed, routes};
 use crate::support::{post, sleep_ms};
 
-/// Pause between two faults, at most: shorter than most last, so that they overlap.
+/// Maximum pause between two faults; shorter than most faults last, so that they overlap.
 const MAX_PAUSE_MS: u64 = 900;
-/// How long one lasts, at most.
-const MAX_LAST_MS: u64 = 3_500;
+/// Maximum duration of a fault.
+const MAX_FAULT_MS: u64 = 3_500;
 
-/// For an upstream to take its knobs.
-const KNOBS_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for setting an upstream's knobs.
+const KNOBS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// To put a fault in; a stand-in that is frozen or dead doesn't take it.
-const STRIKE_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for injecting a fault; a frozen or killed stand-in doesn't respond.
+const INJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a fault's end undoes.
-enum Undo {
-    WakeRouter(u8),
+/// How a fault is reverted.
+enum Revert {
+    ResumeRouter(u8),
     StartRouter(u8),
     ClearStore,
     ClearRelay(u8),
-    WakeUpstream(usize),
+    ResumeUpstream(usize),
     ClearUpstream(usize),
 }
 
-struct Pending {
-    at: Instant,
-    undo: Undo,
+struct ActiveFault {
+    reverts_at: Instant,
+    revert: Revert,
 }
 
-/// Plays faults until `until`, then ends all that last. Prints what is done.
-pub(crate) async fn play(routed: &mut Routed, rng: &mut SmallRng, until: Instant) {
+/// Injects faults until `until`, then reverts all that are active. Prints each fault.
+pub(crate) async fn inject_until(routed: &mut Routed, rng: &mut SmallRng, until: Instant) {
     let start = Instant::now();
-    let mut pending: Vec<Pending> = Vec::new();
+    let mut active: Vec<ActiveFault> = Vec::new();
     while Instant::now() < until {
         sleep_ms(rng.random_range(50..MAX_PAUSE_MS)).await;
-        undo_due(routed, &mut pending, Instant::now());
-        clear_due(routed, &mut pending, Instant::now()).await;
-        let struck = compio::time::timeout(STRIKE_LIMIT, strike(routed, rng, &pending));
-        let Ok((what, undo)) = struck.await else {
-            println!("a fault could not be put in");
+        revert_due(routed, &mut active, Instant::now());
+        clear_due_knobs(routed, &mut active, Instant::now()).await;
+        let injected = compio::time::timeout(INJECT_TIMEOUT, inject(routed, rng, &active));
+        let Ok((description, revert)) = injected.await else {
+            println!("fault injection timed out; continuing with the next fault");
             continue;
         };
-        let lasts_ms = rng.random_range(300..MAX_LAST_MS);
+        let duration_ms = rng.random_range(300..MAX_FAULT_MS);
         let at_ms = start.elapsed().as_millis();
-        println!("{at_ms} ms: {what}, for {lasts_ms} ms");
-        if let Some(undo) = undo {
-            let at = Instant::now() + Duration::from_millis(lasts_ms);
-            pending.push(Pending { at, undo });
+        println!("{at_ms} ms: {description}, for {duration_ms} ms");
+        if let Some(revert) = revert {
+            let reverts_at = Instant::now() + Duration::from_millis(duration_ms);
+            active.push(ActiveFault { reverts_at, revert });
         }
     }
     let end = Instant::now() + Duration::from_secs(3_600);
-    undo_due(routed, &mut pending, end);
-    clear_due(routed, &mut pending, end).await;
+    revert_due(routed, &mut active, end);
+    clear_due_knobs(routed, &mut active, end).await;
     for i in 0..routed.upstreams.len() {
         if routed.upstreams[i].exited().is_some() {
             routed.spawn_upstream(u8::try_from(i).unwrap_or_default());
         }
     }
-    // A frozen upstream takes knobs when it wakes, long after they were given up for lost.
+    // An upstream that was frozen applies knobs when it resumes, after their request timed out, so
+    // all knobs are reset once more.
     for i in 0..routed.upstreams.len() {
         set_upstream(routed, i, &json!({})).await;
     }
     for i in 0..routed.routers.len() {
-        // One that was told to stop may not be gone yet.
+        // A router that was stopped may not have exited yet.
         if routed.stopping.contains(&i) || routed.routers[i].exited().is_some() {
             routed.routers[i].wait_exit().await;
             routed.spawn_router(u8::try_from(i).unwrap_or_default());
@@ -79,88 +81,94 @@
     routed.stopping.clear();
 }
 
-/// Ends what ends by a signal or a start.
-fn undo_due(routed: &mut Routed, pending: &mut Vec<Pending>, now: Instant) {
-    pending.retain(|p| {
-        if p.at > now {
+/// Reverts due faults that end by a signal or a process start.
+fn revert_due(routed: &mut Routed, active: &mut Vec<ActiveFault>, now: Instant) {
+    active.retain(|p| {
+        if p.reverts_at > now {
             return true;
         }
-        match p.undo {
-            Undo::WakeRouter(i) => routed.routers[usize::from(i)].wake(),
-            Undo::StartRouter(i) => {
-                let at = usize::from(i);
-                if routed.routers[at].exited().is_none() {
-                    return now < p.at + Duration::from_secs(60);
+        match p.revert {
+            Revert::ResumeRouter(i) => routed.routers[usize::from(i)].wake(),
+            Revert::StartRouter(i) => {
+                let index = usize::from(i);
+                if routed.routers[index].exited().is_none() {
+                    return now < p.reverts_at + Duration::from_secs(60);
                 }
-                routed.stopping.retain(|s| *s != at);
+                routed.stopping.retain(|s| *s != index);
                 routed.spawn_router(i);
             }
-            Undo::WakeUpstream(i) => routed.upstreams[i].wake(),
-            Undo::ClearStore | Undo::ClearRelay(_) | Undo::ClearUpstream(_) => return true,
+            Revert::ResumeUpstream(i) => routed.upstreams[i].wake(),
+            Revert::ClearStore | Revert::ClearRelay(_) | Revert::ClearUpstream(_) => return true,
         }
         false
     });
 }
 
-/// Ends what ends by a knob.
-async fn clear_due(routed: &Routed, pending: &mut Vec<Pending>, now: Instant) {
-    let due: Vec<Pending> = pending.extract_if(.., |p| p.at <= now).collect();
+/// Reverts due faults that end by resetting knobs.
+async fn clear_due_knobs(routed: &Routed, active: &mut Vec<ActiveFault>, now: Instant) {
+    let due: Vec<ActiveFault> = active.extract_if(.., |p| p.reverts_at <= now).collect();
     for p in due {
-        match p.undo {
-            Undo::ClearStore => routed.store_knobs(json!({ "lapse_ms": 1_500 })).await,
-            Undo::ClearRelay(i) => routed.relay_knobs(i, json!({})).await,
-            Undo::ClearUpstream(i) => set_upstream(routed, i, &json!({})).await,
-            undo => pending.push(Pending { at: p.at, undo }),
+        match p.revert {
+            Revert::ClearStore => routed.store_knobs(json!({ "lapse_ms": 1_500 })).await,
+            Revert::ClearRelay(i) => routed.relay_knobs(i, json!({})).await,
+            Revert::ClearUpstream(i) => set_upstream(routed, i, &json!({})).await,
+            revert => active.push(ActiveFault {
+                reverts_at: p.reverts_at,
+                revert,
+            }),
         }
     }
 }
 
-async fn strike(
+async fn inject(
     routed: &mut Routed,
     rng: &mut SmallRng,
-    pending: &[Pending],
-) -> (String, Option<Undo>) {
+    active: &[ActiveFault],
+) -> (String, Option<Revert>) {
     let router = rng.random_range(0..routed.routers.len());
     let upstream = rng.random_range(0..routed.upstreams.len());
     let i = u8::try_from(router).unwrap_or_default();
-    let is_hit = pending
+    let is_faulted = active
         .iter()
-        .any(|p| matches!(p.undo, Undo::WakeRouter(r) | Undo::StartRouter(r) if r == i));
+        .any(|p| matches!(p.revert, Revert::ResumeRouter(r) | Revert::StartRouter(r) if r == i));
     match rng.random_range(0..12) {
-        0 if !is_hit => {
+        0 if !is_faulted => {
             routed.routers[router].kill();
             routed.spawn_router(i);
             (format!("router {i} killed and started"), None)
         }
-        1 if !is_hit => {
+        1 if !is_faulted => {
             routed.routers[router].freeze();
-            (format!("router {i} frozen"), Some(Undo::WakeRouter(i)))
+            (format!("router {i} frozen"), Some(Revert::ResumeRouter(i)))
         }
-        2 if !is_hit => {
+        2 if !is_faulted => {
             routed.routers[router].terminate();
             routed.stopping.push(router);
             (
-                format!("router {i} told to stop"),
-                Some(Undo::StartRouter(i)),
+                format!("router {i} stopped with SIGTERM"),
+                Some(Revert::StartRouter(i)),
             )
         }
         3 => {
-            if !is_hit {
+            if !is_faulted {
                 routed.routers[router].hang_up();
             }
-            (format!("router {i} told of settings"), None)
+            (
+                format!("router {i} sent SIGHUP to reload its settings"),
+                None,
+            )
         }
         4 => {
             let fault = store_fault(rng);
             routed.store_knobs(fault.clone()).await;
-            (format!("store {fault}"), Some(Undo::ClearStore))
+            (format!("store: {fault}"), Some(Revert::ClearStore))
         }
         5 | 6 => {
             let fault = relay_fault(rng);
             routed.relay_knobs(i, fault.clone()).await;
             (
-                format!("router {i}'s way to the store {fault}"),
-                Some(Undo::ClearRelay(i)),
+                format!("relay from router {i} to the store: {fault}"),
+                Some(Revert::ClearRelay(i)),
             )
         }
         7 => {
@@ -172,7 +180,7 @@
             routed.upstreams[upstream].freeze();
             (
                 format!("upstream {upstream} frozen"),
-                Some(Undo::WakeUpstream(upstream)),
+                Some(Revert::ResumeUpstream(upstream)),
             )
         }
         9 | 10 => {
@@ -184,8 +192,8 @@
             )
             .await;
             (
-                format!("upstream {upstream} {fault}"),
-                Some(Undo::ClearUpstream(upstream)),
+                format!("upstream {upstream}: {fault}"),
+                Some(Revert::ClearUpstream(upstream)),
             )
         }
         _ => {
@@ -201,12 +209,12 @@
     }
 }
 
-/// Sets an upstream's knobs; one that is frozen or was killed meanwhile doesn't answer.
+/// Sets an upstream's knobs; prints a line if the upstream is frozen or was killed.
 async fn set_upstream(routed: &Routed, upstream: usize, knobs: &Value) {
     let text = knobs.to_string();
     let set = post(routed.upstreams[upstream].addr, "/knobs", &text);
-    if compio::time::timeout(KNOBS_LIMIT, set).await.is_err() {
-        println!("upstream {upstream} doesn't take {text}");
+    if compio::time::timeout(KNOBS_TIMEOUT, set).await.is_err() {
+        println!("upstream {upstream} did not accept knobs {text} before the timeout");
     }
 }
 
@@ -236,7 +244,7 @@
 }
 
 fn upstream_fault(rng: &mut SmallRng) -> Value {
-    let spoils = [
+    let response_faults = [
         "reject", "fail", "cut", "half", "extra", "garbage", "crossed", "unproved", "unframed",
         "silent",
     ];
@@ -246,5 +254,5 @@
     if rng.random_bool(0.2) {
         return json!({ "draining": true });
     }
-    json!({ "spoil": spoils.choose(rng), "spoilt": rng.random_range(1..40) })
+    json!({ "spoil": response_faults.choose(rng), "spoilt": rng.random_range(1..40) })
 }
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,5 +1,5 @@
-//! A fault soak of routers on the keyed log: processes under load, faults drawn from a seed and put
-//! in from outside, and a verdict that rests on what callers and upstreams saw.
+//! A soak test of routers on the keyed log: processes under load, faults chosen by a seed and
+//! injected from outside, and a verdict based on the records of callers and upstreams.
 //!
 //! `cargo run --release --example soak -- --seed 7 --seconds 30`
 
@@ -20,29 +20,29 @@
 use crate::callers::Callers;
 use crate::support::routed::{Routed, Size};
 
-/// Soaks a fleet of processes in faults, and checks what callers were told
+/// Runs a fleet of processes under load and faults, and checks the responses that callers received
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 pub(crate) struct Args {
-    /// Draws the faults and the load
+    /// Seed of the faults and the load
     #[bpaf(long, argument("N"))]
     pub(crate) seed: u64,
-    /// How long faults come
+    /// Duration of fault injection, in seconds
     #[bpaf(long, argument("S"), fallback(20))]
     pub(crate) seconds: u64,
-    /// Routers
+    /// Number of routers
     #[bpaf(long, argument("N"), fallback(4))]
     pub(crate) routers: u8,
-    /// Upstreams
+    /// Number of upstreams
     #[bpaf(long, argument("N"), fallback(4))]
     pub(crate) upstreams: u8,
-    /// Callers
+    /// Number of callers
     #[bpaf(long, argument("N"), fallback(8))]
     pub(crate) callers: u32,
 }
 
 fn main() -> ExitCode {
-    // The program starts itself again as each process of the fleet.
+    // The program also runs as each process of the fleet.
     match std::env::args().nth(1).as_deref() {
         Some("router") => {
             let parser = cassiagrade::cmd::router::args().to_options();
@@ -65,7 +65,7 @@
 
 fn soak(args: &Args) -> ExitCode {
     let Ok(runtime) = compio::runtime::Runtime::new() else {
-        eprintln!("no runtime");
+        eprintln!("can't start the async runtime");
         return ExitCode::FAILURE;
     };
     runtime.block_on(run(args))
@@ -82,20 +82,20 @@
     let mut routed = Routed::start(size).await;
     let callers = Callers::spawn(&routed, args.callers, args.seed);
     let until = Instant::now() + Duration::from_secs(args.seconds);
-    faults::play(&mut routed, &mut rng, until).await;
-    let mut found = verdict::recovery(&routed).await;
-    let told = callers.stop().await;
-    // What upstreams began to run is printed before it is answered.
+    faults::inject_until(&mut routed, &mut rng, until).await;
+    let mut violations = verdict::recovery(&routed).await;
+    let records = callers.stop().await;
+    // Upstreams print a run before they answer it; this waits for the last printed lines.
     support::sleep_ms(300).await;
-    found.extend(verdict::check(&routed, &told));
-    println!("seed {}: {}", args.seed, verdict::summary(&told));
-    if found.is_empty() {
+    violations.extend(verdict::check(&routed, &records));
+    println!("seed {}: {}", args.seed, verdict::summary(&records));
+    if violations.is_empty() {
         println!("PASS");
         return ExitCode::SUCCESS;
     }
-    for fault in &found {
-        println!("FAIL {fault}");
+    for violation in &violations {
+        println!("FAIL {violation}");
     }
-    println!("kept in {}", routed.keep().display());
+    println!("output kept in {}", routed.keep().display());
     ExitCode::FAILURE
 }
