--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -83,16 +83,16 @@
 
 /// Reverts due faults that end by a signal or a process start.
 fn revert_due(routed: &mut Routed, active: &mut Vec<ActiveFault>, now: Instant) {
-    active.retain(|p| {
-        if p.reverts_at > now {
+    active.retain(|fault| {
+        if fault.reverts_at > now {
             return true;
         }
-        match p.revert {
+        match fault.revert {
             Revert::ResumeRouter(i) => routed.routers[usize::from(i)].wake(),
             Revert::StartRouter(i) => {
                 let index = usize::from(i);
                 if routed.routers[index].exited().is_none() {
-                    return now < p.reverts_at + Duration::from_secs(60);
+                    return now < fault.reverts_at + Duration::from_secs(60);
                 }
                 routed.stopping.retain(|s| *s != index);
                 routed.spawn_router(i);
@@ -106,14 +106,16 @@
 
 /// Reverts due faults that end by resetting knobs.
 async fn clear_due_knobs(routed: &Routed, active: &mut Vec<ActiveFault>, now: Instant) {
-    let due: Vec<ActiveFault> = active.extract_if(.., |p| p.reverts_at <= now).collect();
-    for p in due {
-        match p.revert {
+    let due: Vec<ActiveFault> = active
+        .extract_if(.., |fault| fault.reverts_at <= now)
+        .collect();
+    for fault in due {
+        match fault.revert {
             Revert::ClearStore => routed.store_knobs(json!({ "lapse_ms": 1_500 })).await,
             Revert::ClearRelay(i) => routed.relay_knobs(i, json!({})).await,
             Revert::ClearUpstream(i) => set_upstream(routed, i, &json!({})).await,
             revert => active.push(ActiveFault {
-                reverts_at: p.reverts_at,
+                reverts_at: fault.reverts_at,
                 revert,
             }),
         }
@@ -128,9 +130,9 @@
     let router = rng.random_range(0..routed.routers.len());
     let upstream = rng.random_range(0..routed.upstreams.len());
     let i = u8::try_from(router).unwrap_or_default();
-    let is_faulted = active
-        .iter()
-        .any(|p| matches!(p.revert, Revert::ResumeRouter(r) | Revert::StartRouter(r) if r == i));
+    let is_faulted = active.iter().any(
+        |fault| matches!(fault.revert, Revert::ResumeRouter(r) | Revert::StartRouter(r) if r == i),
+    );
     match rng.random_range(0..12) {
         0 if !is_faulted => {
             routed.routers[router].kill();
--- a/standins/src/engine/server.rs
+++ b/standins/src/engine/server.rs
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Returns load and cache events in one response, which keeps the polling traffic of routers small.
+    /// Returns load and cache events in one response, to limit the polling traffic of routers.
     fn report(&self, request: &BufferedRequest) -> Response<ResponseBody> {
         let from = request.query("from").unwrap_or(0);
         let load = self.lagged_load();
