--- a/src/path/news_tests.rs
+++ b/src/path/news_tests.rs
@@ -18,7 +18,8 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Records as plain text: a version; or whether an upstream drains, and when it started after an `@`.
+/// Records as plain text: a version; or whether an upstream drains, followed by `@` and its start
+/// time.
 pub(super) struct Plain;
 
 impl Records for Plain {
@@ -79,7 +80,7 @@
         Self { beliefs, news }
     }
 
-    /// Asks `other` as routers do.
+    /// Requests the state of `other` as routers do.
     fn learn_from(&self, other: &Self) {
         let ask = NewsAsk {
             config_version: self.beliefs.deployment().version,
@@ -96,33 +97,34 @@
     router.news.put(at, id, Bytes::from_static(b"ready"));
 }
 
-/// A reader was cut off from the log for long. Back again, it doubts that an upstream whose entry went
-/// is gone, and goes on to later records. Routers that learn from it must learn of the removal too:
-/// they were told all along, have no such doubt, and would send work to an upstream that left.
+/// A reader that returns after a long silence of the log delays the removal of an upstream. Routers
+/// that learn from it must apply the removal at once: they had no silence, and would send work to
+/// an upstream that has left.
 #[test]
-fn doubt_is_not_handed_on() {
+fn delayed_removal_is_sent_to_peers_at_once() {
     let (reader, other) = (Router::new(), Router::new());
     for router in [&reader, &other] {
         put(router, 1, "i-1");
         put(router, 2, "i-2");
     }
-    // Its silence is as old as its clock, which is far over the limit.
+    // The silence is as old as the clock, far above the limit.
     std::thread::sleep(Duration::from_millis(3_100));
     other.news.confirm_upstreams(3_000);
-    reader.news.returned();
+    reader.news.end_silence();
     reader.news.remove(3, "i-1");
     put(&reader, 4, "i-3");
-    assert!(reader.beliefs.knows_upstream("i-1"), "in doubt");
+    assert!(reader.beliefs.has_upstream("i-1"), "removal is delayed");
     other.learn_from(&reader);
-    assert!(!other.beliefs.knows_upstream("i-1"));
-    assert!(other.beliefs.knows_upstream("i-3"));
+    assert!(!other.beliefs.has_upstream("i-1"));
+    assert!(other.beliefs.has_upstream("i-3"));
 }
 
-/// A router missed more changes than are kept: it is told everything, and what it knew beyond that is
-/// gone.
+/// A router that missed more changes than are kept is sent all upstreams, and drops those that are
+/// not among them.
 #[test]
-fn router_that_missed_much_is_told_everything() {
-    // The clock stands still: thousands of records take a while, and a long silence would be a doubt.
+fn router_that_missed_too_many_changes_gets_all_upstreams() {
+    // The clock stands still: processing thousands of records takes a while, which would count as a
+    // long silence.
     let clock = Clock::set_by(Box::leak(Box::new(AtomicU64::new(1))));
     let (reader, other) = (Router::with_clock(clock), Router::with_clock(clock));
     put(&other, 1, "i-old");
@@ -131,12 +133,13 @@
         put(&reader, at, &format!("i-{at}"));
     }
     other.learn_from(&reader);
-    assert!(!other.beliefs.knows_upstream("i-old"));
-    assert_eq!(other.beliefs.upstreams_known(), MAX_CHANGES + 99);
+    assert!(!other.beliefs.has_upstream("i-old"));
+    assert_eq!(other.beliefs.upstream_count(), MAX_CHANGES + 99);
     assert_eq!(other.news.upstreams_at(), last);
 }
 
-/// Routers that start at once must not take one another's empty state for fresh news: none would read the log when its first read fails.
+/// Routers that start at once must not confirm their state by one another's empty state: none would
+/// read the log again after a failed first read.
 #[test]
 fn routers_that_know_nothing_confirm_nothing() {
     let clock_at = |ms| Clock::set_by(Box::leak(Box::new(AtomicU64::new(ms))));
@@ -150,9 +153,10 @@
     assert_eq!(early.news.upstreams_confirmed_ms(), 0);
 }
 
-/// A router that starts while the log is away must not hold requests once a peer has given it everything, however old that is.
+/// A router that starts while the log is unavailable must not hold requests once a peer has sent it
+/// everything, however old that is.
 #[test]
-fn what_a_peer_confirmed_before_this_start_counts_as_loaded() {
+fn state_from_a_peer_counts_as_loaded_however_old() {
     let clock_at = |ms| Clock::set_by(Box::leak(Box::new(AtomicU64::new(ms))));
     let (old, new) = (
         Router::with_clock(clock_at(40_000)),
@@ -170,7 +174,7 @@
     assert!(wait.now_or_never().is_some());
 }
 
-/// Requests that wait for a router's first load must not wait on once the log is known to fail.
+/// Requests that wait for the first load must not wait any longer once the log is known to fail.
 #[test]
 fn failing_log_ends_the_wait_for_the_first_load() {
     let router = Router::new();
@@ -181,7 +185,8 @@
     assert!(wait.now_or_never().is_some());
 }
 
-/// Two routers tell each other in turn; the one that knows an older version must not bring it back.
+/// Two routers exchange their state; the one with the older version must not restore it at the
+/// other.
 #[test]
 fn older_version_is_not_taken_from_a_peer() {
     let (ahead, behind) = (Router::new(), Router::new());
@@ -193,26 +198,27 @@
     assert_eq!(behind.beliefs.deployment().version, 7);
 }
 
-/// An upstream crashes and starts again under its id, and its host's clock steps back in between: by the times that it
-/// tells, the new start lies before the old one. Taken for old news, what was seen of the crashed one would keep the
-/// new one without work for good.
+/// An upstream crashes and restarts under its id, and the clock of its host steps back in between,
+/// so the new start time lies before the old one. The restart must be detected: otherwise the
+/// observations of the crashed incarnation would keep the new one without work permanently.
 #[test_case("3000"; "stepped back")]
 #[test_case("9000"; "went on")]
-fn upstream_that_starts_again_is_new_by_any_clock(started: &str) {
+fn restart_is_detected_when_the_clock_steps_back(started: &str) {
     let router = Router::new();
     let ready = |started: &str| Bytes::from(format!("ready@{started}"));
     router.news.put(1, "i-1", ready("5000"));
-    router.beliefs.found_replaced(&"i-1".into(), 10);
+    router.beliefs.record_replaced(&"i-1".into(), 10);
     assert_eq!(router.beliefs.places("s", 20), None);
     router.news.put(2, "i-1", ready(started));
     assert_eq!(router.beliefs.places("s", 20), Some(1));
 }
 
-/// A router that started a little earlier hears of one that read more of the log, which keeps no change from before its
-/// own read. Given all upstreams each time, hundreds of such routers jam one another's links; the log tells the earlier
-/// one what it misses. It must not take the answer for all there is.
+/// A router learns of one that has read more of the log, but keeps no changes from before its own
+/// read. If all upstreams were sent each time, hundreds of such routers would overload one
+/// another's links; the log provides the missing changes. The answer must not be taken for
+/// complete.
 #[test]
-fn changes_that_nobody_keeps_are_left_to_the_log() {
+fn changes_that_peers_do_not_keep_are_read_from_the_log() {
     let clock = Clock::set_by(Box::leak(Box::new(AtomicU64::new(1_000))));
     let (earlier, later) = (Router::with_clock(clock), Router::with_clock(clock));
     put(&earlier, 4, "i-1");
@@ -235,15 +241,15 @@
     assert!(earlier.news.awaits_log());
     earlier.learn_from(&later);
     assert!(
-        earlier.beliefs.knows_upstream("i-2"),
-        "all, if the log is away"
+        earlier.beliefs.has_upstream("i-2"),
+        "all upstreams, if the log is unavailable"
     );
 }
 
-/// Operators evacuate a data centre and take that back; a router reads the first of the two late, after another told it of
-/// both. It must not leave the data centre out again.
+/// Operators evacuate a data centre and readmit it. A router reads the first of the two records
+/// after a peer sent it the result of both, and must not exclude the data centre again.
 #[test]
-fn evacuation_that_was_taken_back_stays_so() {
+fn late_record_does_not_restore_a_withdrawn_evacuation() {
     let (reader, late) = (Router::new(), Router::new());
     let evacuate = || Order::Evacuate("north".into());
     reader.news.read_orders(0, vec![evacuate()], 1, 1);
@@ -256,10 +262,10 @@
     assert_eq!(late.news.orders_at(), 2);
 }
 
-/// A router starts while a data centre is evacuated, and the log is away: another tells it. It must not send there in
-/// the time until it has read the log itself.
+/// A router that starts while a data centre is evacuated and the log is unavailable gets the
+/// evacuation from a peer. It must not send work there before it has read the log itself.
 #[test]
-fn standing_evacuation_is_told_with_the_configuration() {
+fn current_evacuation_is_sent_with_the_configuration() {
     let (reader, starter) = (Router::new(), Router::new());
     let orders = vec![
         Order::Configure(Bytes::from_static(b"7")),
--- a/src/path/news_world_tests.rs
+++ b/src/path/news_world_tests.rs
@@ -1,35 +1,37 @@
-//! A fleet of routers that believe and tell, the log that they read, and what must hold of both.
+//! Model of a fleet of routers that read a log and exchange state, and the invariants that must
+//! hold.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::path::news_fake_tests::{Answer, Entry, FakeStore, LAPSE_MS};
+use crate::path::news_fake_tests::{Answer, ENTRY_EXPIRY_MS, Entry, FakeStore};
 use crate::path::news_tests::Router;
 use crate::path::reading::{Order, Reading, Record};
 use crate::schema::peer::{NewsAsk, NewsGive, NewsMark};
 use crate::util::{Clock, Name};
 
 pub(super) const ROUTERS: usize = 4;
-/// Routers tell one another this often, and look at the clock.
+/// Interval at which routers publish their positions and check the clock.
 const TICK_MS: u64 = 200;
-/// Who stands still for longer than this notices. What was told during a shorter pause counts as up to
-/// that much fresher than it was.
-pub(super) const SLEPT_MS: u64 = 1_100;
-/// With the log back and nobody asleep, all know all after this many ticks.
-const HEAL_TICKS: u32 = 40;
+/// Duration of a suspension that routers detect. State received during a shorter pause counts as up
+/// to that much fresher than it was.
+pub(super) const SUSPENSION_MS: u64 = 1_100;
+/// After this many ticks with the log available and no router suspended, all routers have
+/// everything.
+const RECOVERY_TICKS: u32 = 40;
 
 pub(super) struct Host {
     router: Router,
     reading: Reading,
     reading_orders: Reading,
-    /// The log's answers under way, and when they were asked for.
+    /// Pending answers of the log, with the times of their requests.
     orders: Option<(u64, Answer<Order>)>,
     upstreams: Option<(u64, Answer<Record>)>,
     peer: Option<(u64, NewsGive)>,
-    /// What others told while this one stands still.
+    /// Positions published by other routers while this one is suspended.
     marks: VecDeque<NewsMark>,
-    pub(super) shut: bool,
-    pub(super) sleeps_until_ms: u64,
+    pub(super) is_rejected: bool,
+    pub(super) suspended_until_ms: u64,
     started_ms: u64,
     version: u64,
 }
@@ -43,7 +45,7 @@
 
 impl World {
     pub(super) fn new() -> Self {
-        // One number a case: a clock that many routers share outlives them all.
+        // One number per case: a clock that many routers share must outlive them all.
         let now_ms: &'static AtomicU64 = Box::leak(Box::new(AtomicU64::new(10_000)));
         let hosts = (0..ROUTERS).map(|_| host(now_ms)).collect();
         Self {
@@ -58,16 +60,16 @@
         self.now_ms.load(Ordering::Relaxed)
     }
 
-    fn sleeps(&self, at: usize) -> bool {
-        self.hosts[at].sleeps_until_ms > self.now_ms()
+    fn is_suspended(&self, at: usize) -> bool {
+        self.hosts[at].suspended_until_ms > self.now_ms()
     }
 
-    fn reaches_store(&self, at: usize) -> bool {
-        self.store.is_up() && !self.hosts[at].shut && !self.sleeps(at)
+    fn can_reach_store(&self, at: usize) -> bool {
+        self.store.is_available() && !self.hosts[at].is_rejected && !self.is_suspended(at)
     }
 
-    pub(super) fn ask(&mut self, at: usize) {
-        if !self.reaches_store(at) {
+    pub(super) fn send_request(&mut self, at: usize) {
+        if !self.can_reach_store(at) {
             return;
         }
         let now_ms = self.now_ms();
@@ -83,7 +85,7 @@
     }
 
     pub(super) fn answer(&mut self, at: usize) {
-        if self.sleeps(at) {
+        if self.is_suspended(at) {
             return;
         }
         let host = &mut self.hosts[at];
@@ -114,8 +116,12 @@
         }
     }
 
-    pub(super) fn ask_peer(&mut self, at: usize, peer: usize) {
-        if at == peer || self.sleeps(at) || self.sleeps(peer) || self.hosts[at].peer.is_some() {
+    pub(super) fn send_peer_request(&mut self, at: usize, peer: usize) {
+        if at == peer
+            || self.is_suspended(at)
+            || self.is_suspended(peer)
+            || self.hosts[at].peer.is_some()
+        {
             return;
         }
         let router = &self.hosts[at].router;
@@ -129,8 +135,8 @@
         self.hosts[at].peer = Some((self.now_ms(), give));
     }
 
-    pub(super) fn peer_answers(&mut self, at: usize) {
-        if self.sleeps(at) {
+    pub(super) fn receive_peer_answer(&mut self, at: usize) {
+        if self.is_suspended(at) {
             return;
         }
         let host = &mut self.hosts[at];
@@ -139,14 +145,14 @@
         }
     }
 
-    /// One tick of a running fleet: every router tells how much it knows, the first ones read, the
-    /// others do when their news grow old.
+    /// One tick of a running fleet: every router publishes its position. The first routers read the
+    /// log, and the others do so when their state becomes stale.
     pub(super) fn tick(&mut self) {
         self.now_ms.fetch_add(TICK_MS, Ordering::Relaxed);
         let now_ms = self.now_ms();
         self.store.tick(now_ms);
         let marks: Vec<Option<NewsMark>> = (0..ROUTERS)
-            .map(|at| (!self.sleeps(at)).then(|| self.hosts[at].router.news.mark()))
+            .map(|at| (!self.is_suspended(at)).then(|| self.hosts[at].router.news.mark()))
             .collect();
         for at in 0..ROUTERS {
             let others = marks.iter().enumerate().filter(|(from, _)| *from != at);
@@ -155,15 +161,15 @@
                 .collect();
             let host = &mut self.hosts[at];
             host.marks.extend(heard.iter().map(|(_, mark)| *mark));
-            if self.sleeps(at) {
+            if self.is_suspended(at) {
                 continue;
             }
             let host = &mut self.hosts[at];
             for mark in std::mem::take(&mut host.marks) {
                 host.router.news.heard(&mark);
             }
-            host.router.news.look();
-            host.router.news.settle();
+            host.router.news.check_clock();
+            host.router.news.remove_missing();
             let news = &host.router.news;
             let (paces, now_ms) = (news.paces(), news.now_ms());
             let config_is_stale = news.config_fresh().is_stale(now_ms, paces.config);
@@ -171,12 +177,12 @@
             let is_stale = config_is_stale || upstreams_fresh.is_stale(now_ms, paces.upstreams);
             let ahead = heard.iter().find(|(_, m)| host.router.news.is_behind(m));
             if let Some((peer, _)) = ahead {
-                self.ask_peer(at, *peer);
-                self.peer_answers(at);
+                self.send_peer_request(at, *peer);
+                self.receive_peer_answer(at);
             }
             if at < 2 || is_stale {
                 self.answer(at);
-                self.ask(at);
+                self.send_request(at);
             }
         }
     }
@@ -185,13 +191,13 @@
         for at in 0..ROUTERS {
             self.check_config(at);
             self.check_evacuations(at);
-            if !self.sleeps(at) {
+            if !self.is_suspended(at) {
                 self.check_upstreams(at);
             }
         }
     }
 
-    /// A version never goes back, and what was confirmed is all there was.
+    /// The version never decreases, and a confirmed one is the newest as of the confirmation.
     fn check_config(&mut self, at: usize) {
         let host = &mut self.hosts[at];
         let version = host.router.beliefs.deployment().version;
@@ -209,13 +215,14 @@
         );
     }
 
-    /// What is evacuated is what operators wrote up to the offset that is told, and what was confirmed is all there was.
+    /// Evacuations match the records of operators up to the known offset, and confirmed ones are
+    /// complete as of the confirmation.
     fn check_evacuations(&self, at: usize) {
         let router = &self.hosts[at].router;
         let evacuated: BTreeSet<Name> = router.beliefs.evacuations().names().cloned().collect();
         let end = usize::try_from(router.news.orders_at()).unwrap();
         let written = self.store.evacuated(end);
-        assert_eq!(evacuated, written, "{at}: not the log's at {end}");
+        assert_eq!(evacuated, written, "{at}: differs from the log at {end}");
         let confirmed = self.store.orders_end_at(router.news.config_confirmed_ms());
         if confirmed > end {
             let then = self.store.evacuated(confirmed);
@@ -233,44 +240,46 @@
         assert_eq!(
             listed,
             self.store.entries(end),
-            "{at}: not the log's at {end}"
+            "{at}: differs from the log at {end}"
         );
         let confirmed = self.store.end_at(router.news.upstreams_confirmed_ms());
         if confirmed > end {
             let then = self.store.entries(confirmed);
             assert_eq!(listed, then, "{at}: confirmed at {confirmed}, is at {end}");
         }
-        let doubted = router.news.doubted_ids();
-        let mut wanted: Vec<String> = listed.into_keys().chain(doubted).collect();
+        let missing = router.news.missing_ids();
+        let mut wanted: Vec<String> = listed.into_keys().chain(missing).collect();
         wanted.sort();
         let known = router.beliefs.change_upstreams(|u| u.ids());
         let mut known: Vec<String> = known.iter().map(ToString::to_string).collect();
         known.sort();
-        assert_eq!(known, wanted, "{at}: neither listed nor in doubt");
+        assert_eq!(known, wanted, "{at}: neither listed nor missing");
     }
 
-    /// Upstreams whose entries lapsed with the log are not taken for gone before they can be back.
-    fn check_lapsed(&self, known: &[Vec<String>]) {
+    /// Upstreams whose entries expired with the log are not removed before they can write them
+    /// again.
+    fn check_expired(&self, known: &[Vec<String>]) {
         for (at, before) in known.iter().enumerate() {
-            let lapsed = self.store.lapsed();
-            let mut lost = before.iter().filter(|id| lapsed.contains(id.as_str()));
-            let knows = |id: &String| self.hosts[at].router.beliefs.knows_upstream(id);
+            let expired = self.store.expired();
+            let mut lost = before.iter().filter(|id| expired.contains(id.as_str()));
+            let knows = |id: &String| self.hosts[at].router.beliefs.has_upstream(id);
             let lost = lost.find(|id| !knows(id));
-            assert_eq!(lost, None, "{at}: taken for gone");
+            assert_eq!(lost, None, "{at}: removed too early");
         }
     }
 
-    /// Brings the log back, and lets all read and tell at once.
-    pub(super) fn return_store(&mut self) {
+    /// Ends the outage, and lets all routers read and publish at once.
+    pub(super) fn end_outage(&mut self) {
         let now_ms = self.now_ms();
-        let is_long = !self.store.is_up() && now_ms - self.down_since_ms >= LAPSE_MS;
-        self.store.come_back(now_ms);
+        let is_long = !self.store.is_available() && now_ms - self.down_since_ms >= ENTRY_EXPIRY_MS;
+        self.store.end_outage(now_ms);
         if !is_long {
             return;
         }
         let known: Vec<Vec<String>> = (0..ROUTERS)
             .map(|at| {
-                let is_old = self.hosts[at].started_ms < self.down_since_ms && !self.sleeps(at);
+                let is_old =
+                    self.hosts[at].started_ms < self.down_since_ms && !self.is_suspended(at);
                 let ids = self.hosts[at].router.beliefs.change_upstreams(|u| u.ids());
                 let ids = ids.iter().map(ToString::to_string);
                 if is_old { ids.collect() } else { Vec::new() }
@@ -278,19 +287,19 @@
             .collect();
         for _ in 0..3 {
             self.tick();
-            self.check_lapsed(&known);
+            self.check_expired(&known);
         }
     }
 
-    pub(super) fn heal(&mut self) {
-        self.return_store();
+    pub(super) fn recover(&mut self) {
+        self.end_outage();
         for host in &mut self.hosts {
-            host.shut = false;
+            host.is_rejected = false;
         }
-        while (0..ROUTERS).any(|at| self.sleeps(at)) {
+        while (0..ROUTERS).any(|at| self.is_suspended(at)) {
             self.tick();
         }
-        for _ in 0..HEAL_TICKS {
+        for _ in 0..RECOVERY_TICKS {
             self.tick();
             self.check();
         }
@@ -304,7 +313,7 @@
             assert_eq!(host.router.beliefs.deployment().version, newest, "healed");
             assert_eq!(host.router.news.listed(), entries, "healed");
             assert_eq!(
-                host.router.beliefs.upstreams_known(),
+                host.router.beliefs.upstream_count(),
                 entries.len(),
                 "healed"
             );
@@ -321,8 +330,8 @@
         upstreams: None,
         peer: None,
         marks: VecDeque::new(),
-        shut: false,
-        sleeps_until_ms: 0,
+        is_rejected: false,
+        suspended_until_ms: 0,
         started_ms: now_ms.load(Ordering::Relaxed),
         version: 0,
     }
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -1,4 +1,4 @@
-//! What routers ask one another on this path: news of the log, and who is there.
+//! Requests between routers on this path: log state and members.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,18 +19,20 @@
 use crate::schema::peer::{MembersAsk, MembersGive, NewsAsk, NewsGive};
 use crate::util::Name;
 
-/// A router that starts asks this many for news before it has any.
-const START_ASKS: usize = 3;
-/// Pause between two looks whether another must be asked, while nothing is known.
+/// Number of peers from which a router without state requests it.
+const START_PEERS: usize = 3;
+/// Pause between two requests to peers while nothing is known.
 const START_PAUSE: Duration = Duration::from_millis(400);
-/// How long a router that starts waits for the log alone, unless the log fails. A large configuration over a thin link
-/// takes a part of that; a log that went silent fails only after some seconds, and peers know what it would say.
-const LOG_ALONE_MS: u64 = 2_000;
-/// When a router that has started asks another for its members. Of a fleet that starts for the first time at once, the
-/// first to read the list find few in it; what they miss would take the probes' rumours many seconds.
-const FILL_PAUSES: [Duration; 2] = [Duration::from_millis(700), Duration::from_secs(2)];
+/// Time for which a router that starts relies on the log alone, unless the log fails. Reading a
+/// large configuration over a slow link takes part of it. A log that stopped answering is detected
+/// only after some seconds, and by then peers can send its contents.
+const LOG_ONLY_MS: u64 = 2_000;
+/// Delays after which a router that has started requests the members from a peer. When a whole
+/// fleet starts for the first time, the first routers to read the list find few members in it, and
+/// learning the others by gossip probes would take many seconds.
+const MEMBER_REQUEST_DELAYS: [Duration; 2] = [Duration::from_millis(700), Duration::from_secs(2)];
 
-/// Answers other routers at `addr`.
+/// Answers requests of other routers at `addr`.
 pub(crate) async fn bind<D: Dialect + Records>(
     addr: SocketAddr,
     key: Name,
@@ -55,14 +57,14 @@
     }
 }
 
-/// Takes what other routers say they know, and asks those that know more.
+/// Handles the state published by other routers, and requests newer state from them.
 pub(crate) async fn follow<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
     let mut marks = path.gossip.marks();
     while marks.changed().await.is_ok() {
         let heard = marks.borrow_and_update().clone();
         path.news.heard(&heard.mark);
         if path.news.is_behind(&heard.mark)
-            && !(leaves_it_to_the_log(&path) || path.news.awaits_log())
+            && !(waits_for_log(&path) || path.news.awaits_log())
             && let Some(addr) = path.peer_addr(&heard.host)
         {
             ask(&path, &client, &addr).await;
@@ -70,12 +72,13 @@
     }
 }
 
-/// Asks another for everything, one at a time, until something is known: the log may be out of reach of a router that
-/// starts.
+/// Requests the whole state from one peer at a time until something is known: the log may be
+/// unreachable for a router that starts.
 ///
-/// Failure guarded against: hundreds of routers that start at once before thousands of upstreams have read half of the log
-/// when they begin to ask. If each asks several others for all of it, those that are ready first, and the few that all
-/// are told of, are jammed for long, and callers with them.
+/// Failure guarded against: when hundreds of routers start at once with thousands of upstreams,
+/// they have read half of the log by the time they begin to ask. If each asks several peers for all
+/// of it, the peers that are ready first, and the few seeds that all routers know, are overloaded
+/// for long, and so are their callers.
 pub(crate) async fn join<D: Dialect + Records>(
     path: Rc<Path<D>>,
     client: PeerClient,
@@ -84,10 +87,10 @@
     let mut knows_members = false;
     while path.unready().is_some() && !path.drain.is_stopping() {
         compio::time::sleep(START_PAUSE).await;
-        if path.unready().is_none() || leaves_it_to_the_log(&path) {
+        if path.unready().is_none() || waits_for_log(&path) {
             continue;
         }
-        let known = others(&path);
+        let known = live_peers(&path);
         let Some(addr) = known.iter().chain(&seeds).choose(&mut rand::rng()) else {
             continue;
         };
@@ -96,20 +99,20 @@
             knows_members = ask_members(&path, &client, addr).await;
         }
     }
-    for pause in FILL_PAUSES {
+    for pause in MEMBER_REQUEST_DELAYS {
         compio::time::sleep(pause).await;
-        if let Some(addr) = others(&path).first() {
+        if let Some(addr) = live_peers(&path).first() {
             ask_members(&path, &client, addr).await;
         }
     }
 }
 
-/// Asks others anew each time that this router was suspended.
+/// Requests the state from peers after each suspension of this router.
 pub(crate) async fn ask_after_suspend<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
     let resumed = path.news.suspend().resumed();
     loop {
         resumed.notified().await;
-        for addr in others(&path) {
+        for addr in live_peers(&path) {
             if !path.news.needs_refresh() {
                 break;
             }
@@ -118,9 +121,9 @@
     }
 }
 
-/// Whether this router has just started and the log will tell it everything.
-fn leaves_it_to_the_log<D: Dialect + Records>(path: &Path<D>) -> bool {
-    let has_started = path.clock.now_ms() >= LOG_ALONE_MS;
+/// Whether this router has just started and should wait for its read of the log.
+fn waits_for_log<D: Dialect + Records>(path: &Path<D>) -> bool {
+    let has_started = path.clock.now_ms() >= LOG_ONLY_MS;
     path.unready().is_some() && !has_started && !path.news.log_fails()
 }
 
@@ -135,7 +138,7 @@
             true
         }
         Err(e) => {
-            log::debug!("{addr} tells no members: {e}");
+            log::debug!("{addr}: request for members failed: {e}");
             false
         }
     }
@@ -151,14 +154,14 @@
     let asked_ms = path.clock.now_ms();
     match client.ask::<_, NewsGive>(addr, NEWS, &ask).await {
         Ok(give) => path.news.take(give, addr, asked_ms),
-        Err(e) => log::debug!("{addr} gives no news: {e}"),
+        Err(e) => log::debug!("{addr}: request for log state failed: {e}"),
     }
 }
 
-fn others<D>(path: &Path<D>) -> Vec<Name> {
+fn live_peers<D>(path: &Path<D>) -> Vec<Name> {
     let fleet = path.fleet.borrow();
-    let others = fleet.members.iter().filter(|m| m.host != path.host);
-    let live = others.filter(|m| m.takes_work());
+    let peers = fleet.members.iter().filter(|m| m.host != path.host);
+    let live = peers.filter(|m| m.takes_work());
     let addrs = live.map(|m| m.peer_addr.clone());
-    addrs.choose_multiple(&mut rand::rng(), START_ASKS)
+    addrs.choose_multiple(&mut rand::rng(), START_PEERS)
 }
--- a/src/path/reading.rs
+++ b/src/path/reading.rs
@@ -1,73 +1,73 @@
-//! What to ask the platform's log next, and what its answers say: no network, no clock.
+//! Read position in the platform's log: what to request next. No I/O and no clock.
 
 use bytes::Bytes;
 
 use crate::util::Name;
 
-/// One record of a keyed stream. Without a value, the key is dropped.
+/// Record of a keyed stream. Without a value, it deletes the key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Record {
     pub(crate) key: String,
     pub(crate) value: Option<Bytes>,
 }
 
-/// One thing that operators wrote.
+/// Record of the stream that operators write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Order {
-    /// A whole configuration.
+    /// Complete configuration.
     Configure(Bytes),
-    /// The upstreams of a data centre get no new work.
+    /// Stops new work for the upstreams of a data centre.
     Evacuate(Name),
-    /// They get work again.
+    /// Allows work for them again.
     Readmit(Name),
-    /// Nothing that this system knows.
+    /// Record of an unknown kind.
     Other,
 }
 
-/// What a reader asks a keyed stream.
+/// Request of a reader to a keyed stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Ask {
-    /// The newest record of every key.
+    /// The newest record of each key.
     All,
-    /// What came from this offset on.
+    /// All records from this offset on.
     From(u64),
 }
 
-/// How far one reader has read one stream.
+/// Position of one reader in one stream.
 #[derive(Debug, Default)]
 pub(crate) struct Reading {
     next: Option<u64>,
-    /// The records that would come next were deleted.
+    /// Whether the next records were deleted from the log.
     is_expired: bool,
 }
 
 impl Reading {
-    /// What to ask next, where others told everything up to offset `told`: reading that again would
-    /// bring only old news.
+    /// Returns the next request. Peers have sent everything up to offset `known_end`, which need not be
+    /// read again.
     ///
-    /// Failure guarded against: records expire unread, and a reader that asks for them again gets the
-    /// same refusal for ever, at the speed of the network.
-    pub(crate) fn ask(&self, told: u64) -> Ask {
-        let known = self.next.map(|next| next.max(told));
-        let known = known.or((told > 0).then_some(told));
+    /// Failure guarded against: records expire before they are read. A reader that keeps requesting
+    /// them gets the same rejection forever, at the speed of the network.
+    pub(crate) fn ask(&self, known_end: u64) -> Ask {
+        let known = self.next.map(|next| next.max(known_end));
+        let known = known.or((known_end > 0).then_some(known_end));
         match known {
             Some(from) if !self.is_expired => Ask::From(from),
             _ => Ask::All,
         }
     }
 
-    /// Everything was read; `end` is the offset to go on from.
+    /// Notes that all records were read; `end` is the offset to continue from.
     pub(crate) fn took_all(&mut self, end: u64) {
         self.next = Some(end);
         self.is_expired = false;
     }
 
-    /// `count` records from offset `from` on were read.
+    /// Notes that `count` records from offset `from` on were read.
     pub(crate) fn took(&mut self, from: u64, count: usize) {
         self.next = Some(from + count as u64);
     }
 
-    /// The records asked for were deleted.
+    /// Notes that the requested records were deleted.
     pub(crate) fn expired(&mut self) {
         self.is_expired = true;
     }
--- a/src/path/refusal.rs
+++ b/src/path/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of this router's own: what each says of the request, and when to come back.
+//! Refusals by this router: what each reports about the request, and when to retry.
 
 use http::header::CONNECTION;
 use http::{HeaderValue, Response, StatusCode};
@@ -8,12 +8,12 @@
 use crate::front::refusal::{Words, status};
 use crate::path::dialect::Dialect;
 
-/// Why a request ends without an upstream's answer.
+/// Reason why a request ends without an answer of an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Refused {
     pub(crate) cause: Cause,
     pub(crate) run: RunState,
-    /// 0 where coming back won't help.
+    /// 0 if a retry won't help.
     pub(crate) retry_after_ms: u64,
     pub(crate) detail: String,
 }
@@ -28,7 +28,8 @@
         }
     }
 
-    /// 503 promises that the request didn't run and never will; 502 and 504 promise nothing.
+    /// Returns the status code. 503 guarantees that the request did not run and never will; 502 and
+    /// 504 guarantee nothing.
     fn status(&self) -> StatusCode {
         let is_promise = self.run == RunState::NotRun;
         match self.cause {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Whether the rest of what the caller sends on this connection can't be told from a request.
+    /// Whether the connection must be closed because the rest of the caller's data can't be
+    /// distinguished from a new request.
     fn ends_connection(&self) -> bool {
         matches!(
             self.cause,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// For a caller whose request is not read.
+    /// Serializes the refusal for a caller whose request is not read.
     pub(crate) fn raw<D: Dialect>(&self) -> Vec<u8> {
         let retry_after = D::retry_after(self.retry_after_ms);
         let retry_after = retry_after.to_str().unwrap_or("1");
--- a/src/path/regions.rs
+++ b/src/path/regions.rs
@@ -1,22 +1,23 @@
-//! Which regions a request may go to: operators bind routes and accounts to regions, and both bindings hold.
+//! Regions to which a request may be sent: operators bind routes and accounts to regions, and both
+//! bindings apply.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use crate::util::Name;
 
-/// Regions that operators allow a route's or an account's requests; `None` allows all.
+/// Regions allowed for the requests of a route or an account; `None` allows all.
 pub type Homes = Option<Rc<[Name]>>;
 
-/// The region of each data centre.
+/// Region of each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Regions {
     by_data_center: HashMap<Name, Name>,
 }
 
 impl Regions {
-    /// Reads `DATA_CENTER=REGION` pairs with commas between them; what is no such pair is left out, as settings are
-    /// checked before.
+    /// Parses comma-separated `DATA_CENTER=REGION` pairs. Malformed pairs are skipped, as settings
+    /// are validated before.
     ///
     /// ```
     /// use cassiagrade::path::regions::Regions;
@@ -34,20 +35,21 @@
         }
     }
 
-    /// The region of `data_center`, if it is known.
+    /// Region of `data_center`, if known.
     pub fn of(&self, data_center: &str) -> Option<&Name> {
         self.by_data_center.get(data_center)
     }
 
-    /// Whether a caller in `region` may be sent to a router of `data_center`: one of its own region, or of one that all
-    /// of `homes` allow.
+    /// Whether a caller in `region` may be directed to a router in `data_center`: one in the
+    /// caller's region, or in a region that all of `homes` allow.
     pub fn may_start(&self, region: Option<&str>, homes: &[&Homes], data_center: &str) -> bool {
         let routers = self.of(data_center).map(|r| &**r);
         let is_own = routers.is_some() && routers == region;
         is_own || self.allow(homes, data_center)
     }
 
-    /// Whether all of `homes` allow `data_center`. Where the region isn't known, only those that allow all do.
+    /// Whether all of `homes` allow `data_center`. If its region is unknown, only those that allow
+    /// all regions do.
     pub fn allow(&self, homes: &[&Homes], data_center: &str) -> bool {
         let region = self.of(data_center);
         let allows = |homes: &[Name]| region.is_some_and(|r| homes.contains(r));
--- a/src/path/regions_tests.rs
+++ b/src/path/regions_tests.rs
@@ -7,15 +7,14 @@
     (!names.is_empty()).then(|| names.split(' ').map(Into::into).collect())
 }
 
-/// A route may be served in some of three regions, and an account in others. A request must stay where both allow it;
-/// unset allows all.
+/// A request must stay in the regions that both its route and its account allow; unset allows all.
 #[test_case("", "", "a-1 a-2 b-1 c-1 unknown"; "no homes")]
 #[test_case("east", "", "a-1 a-2"; "of the route")]
 #[test_case("", "west south", "b-1 c-1"; "of the account")]
 #[test_case("east west", "west south", "b-1"; "of both")]
 #[test_case("east", "west", ""; "none in common")]
 #[test_case("north", "", ""; "no data centre")]
-fn request_stays_at_home(route: &str, account: &str, wanted: &str) {
+fn request_stays_in_allowed_regions(route: &str, account: &str, wanted: &str) {
     let regions = Regions::parse(REGIONS);
     let (route, account) = (homes(route), homes(account));
     let allowed = ["a-1", "a-2", "b-1", "c-1", "unknown"].into_iter();
@@ -24,13 +23,14 @@
     assert_eq!(allowed.join(" "), wanted);
 }
 
-/// A caller asks where to connect, and one of the routes of its host name has homes. It is sent to routers of its own
-/// region, where it may always start, or of one that all of the routes allow; unset, to any.
+/// Callers of a host name with a route bound to regions are directed to routers in their own
+/// region, where a request may always start, or in a region that all routes allow; without a
+/// binding, to any router.
 #[test_case(Some("south"), "west", "b-1 c-1"; "abroad")]
 #[test_case(Some("west"), "west", "b-1"; "at home")]
 #[test_case(None, "west", "b-1"; "untold")]
 #[test_case(Some("south"), "", "a-1 a-2 b-1 c-1"; "no homes")]
-fn callers_start_in_homes_or_their_own_region(caller: Option<&str>, route: &str, wanted: &str) {
+fn callers_start_in_allowed_regions_or_their_own(caller: Option<&str>, route: &str, wanted: &str) {
     let regions = Regions::parse(REGIONS);
     let (route, other) = (homes(route), None);
     let start = ["a-1", "a-2", "b-1", "c-1"].into_iter();
--- a/src/path/request.rs
+++ b/src/path/request.rs
@@ -1,4 +1,5 @@
-//! One caller's request, from its headers to its answer: checks, route, account, body, tries.
+//! Handles one request of a caller, from its headers to its answer: validation, route, account,
+//! body and attempts.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,29 +16,32 @@
 use crate::front::body::Answer;
 use crate::front::check::{self, RequestError};
 use crate::front::drain::Phase;
-use crate::path::attempts::{Asked, Attempts};
+use crate::path::attempts::{Attempts, RequestContext};
 use crate::path::dialect::{CallerHead, Dialect, Records};
-use crate::path::gate::Ticket;
+use crate::path::gate::Permit;
 use crate::path::refusal::Refused;
 use crate::path::routes::{Account, CallerLimits, Deployment, Route};
 use crate::path::{Path, answer};
 use crate::stats::{self, Tally};
 use crate::util::Name;
 
-/// When to come back to a router that stops: at once, elsewhere.
-const STOPPING_MS: u64 = 50;
-/// For a whole body: callers send theirs at once.
+/// `Retry-After` of a router that is stopping: the caller can retry at another router at once.
+const STOPPING_RETRY_MS: u64 = 50;
+/// Time limit for reading the body, which callers send at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// For a router that was suspended to ask anew: some round trips to the store or to another router.
+/// Time limit for refreshing the state after a suspension: some round trips to the store or to a
+/// peer.
 const REFRESH_LIMIT: Duration = Duration::from_millis(400);
-/// How long after its start a router holds requests for its first load; one that takes longer is jammed or cut off.
+/// Time after start during which a router holds requests until its first load. A router that takes
+/// longer is overloaded or cut off.
 const LOAD_LIMIT_MS: u64 = 2_000;
-/// Part of a caller's time that may pass before the first load: the rest is for the request itself.
+/// Share of the caller's time limit that may pass before the first load. The rest is left for the
+/// request itself.
 const LOAD_WAIT_SHARE: f64 = 0.5;
-/// Where a caller doesn't say how long it waits.
+/// Time limit of a caller that specifies none.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle<D: Dialect + Records>(
     path: Rc<Path<D>>,
     request: Request<Incoming>,
@@ -77,7 +81,7 @@
     check(&parts, &deployment.limits)?;
     if path.drain.phase() == Phase::Refusing {
         let detail = "this router is stopping";
-        return Err(Refused::not_run(Cause::Draining, STOPPING_MS, detail));
+        return Err(Refused::not_run(Cause::Draining, STOPPING_RETRY_MS, detail));
     }
     let route = route(&deployment, &parts)?;
     let account = account(&deployment, &route, &head)?;
@@ -85,15 +89,16 @@
     let body = check::body(&parts.headers, &mut body, max_bytes, BODY_TIMEOUT).await;
     let body = body.map_err(|e| malformed(&e))?;
     let fingerprint = fingerprint(account.as_deref(), &parts, &body);
-    if let Some(left_ms) = path.beliefs.convicted_ms(fingerprint, path.clock.now_ms()) {
-        let detail = "requests like this one crashed upstreams";
+    if let Some(left_ms) = path.beliefs.quarantine_ms(fingerprint, path.clock.now_ms()) {
+        let detail = "identical requests crashed upstreams";
         return Err(Refused::not_run(Cause::Quarantined, left_ms, detail));
     }
     let deadline = started + Duration::from_millis(caller_ms.min(route.timeout_ms));
     let service = route.draw_service(&mut rand::rng()).clone();
     tally.service(&service);
-    let ticket = enter(&path, &head, &route, &service, account.as_deref(), deadline).await?;
-    let asked = Asked {
+    let permit =
+        wait_for_permit(&path, &head, &route, &service, account.as_deref(), deadline).await?;
+    let context = RequestContext {
         path,
         parts,
         head,
@@ -105,26 +110,26 @@
         started,
         deadline,
     };
-    let mut attempts = Attempts::new(asked, ticket);
+    let mut attempts = Attempts::new(context, permit);
     let answered = attempts.answer().await?;
-    Ok(answer::pass(attempts, answered, tally.take()))
+    Ok(answer::forward(attempts, answered, tally.take()))
 }
 
-/// Waits until the service has room for the request.
-async fn enter<D>(
+/// Waits until the service has capacity for the request.
+async fn wait_for_permit<D>(
     path: &Path<D>,
     head: &CallerHead,
     route: &Route,
     service: &Name,
     account: Option<&Account>,
     deadline: Instant,
-) -> Result<Ticket, Refused> {
+) -> Result<Permit, Refused> {
     let deployment = path.beliefs.deployment();
     let rank = deployment.rank(service, account.and_then(|a| a.priority), route.priority);
     let left = deadline.saturating_duration_since(Instant::now());
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     let job = Job {
-        id: path.gates.next_id(),
+        id: path.queues.next_id(),
         account: account.map_or_else(|| "".into(), |a| a.name.clone()),
         weight: 1.0,
         priority: admission::class(rank),
@@ -138,45 +143,47 @@
         last_choice: true,
         suspect: false,
     };
-    let entered = path.gates.enter(service, job, route.objective_ms).await;
-    entered.map_err(|refusal| {
-        let grounds = path.gates.grounds(service);
-        let detail = format!("{service} has no room in time: {grounds}");
+    let acquired = path.queues.acquire(service, job, route.objective_ms).await;
+    acquired.map_err(|refusal| {
+        let state = path.queues.describe_state(service);
+        let detail = format!("{service} has no capacity before the deadline: {state}");
         Refused::not_run(refusal.cause, refusal.retry_after_ms, detail)
     })
 }
 
-/// Waits until a router that was suspended has asked anew; if nobody answers, it goes on with what it
-/// knew.
+/// Waits until the state was refreshed after a suspension. If neither the log nor a peer answers,
+/// the router continues with its old state.
 async fn refresh_after_suspend<D: Records>(path: &Path<D>) {
     if !path.news.needs_refresh() {
         return;
     }
     let refreshed = path.news.suspend().refreshed();
-    // Nobody to ask: serving by what was true is better than not at all.
+    // Without an answer, serving with the old state is better than refusing.
     let _ = compio::time::timeout(REFRESH_LIMIT, refreshed.notified()).await;
 }
 
-/// Holds a request that comes to a router which is still loading configuration and upstreams.
+/// Holds a request that arrives while the router is still loading configuration and upstreams.
 ///
-/// Refused instead, all callers of a fleet that restarts come back together some hundred milliseconds later, when their
-/// objectives are missed and some have no retry left. Nothing is held while the log is known to fail.
+/// If these requests were refused instead, all callers of a restarting fleet would retry together
+/// some hundred milliseconds later, when their objectives are missed and some have no retry left.
+/// Nothing is held while the log is known to fail.
 async fn wait_for_first_load<D: Records>(path: &Path<D>, head: &CallerHead, caller_ms: u64) {
     if path.news.is_loaded() || path.news.log_fails() {
         return;
     }
-    let came_ms = path.clock.now_ms();
+    let received_ms = path.clock.now_ms();
     let wait_ms = LOAD_LIMIT_MS
-        .saturating_sub(came_ms)
+        .saturating_sub(received_ms)
         .min((caller_ms as f64 * LOAD_WAIT_SHARE) as u64);
     if wait_ms == 0 {
         return;
     }
     let settled = path.news.load_settled();
-    // A request whose wait is over is refused by what is missing then.
+    // After the time limit, the checks that follow refuse the request for the state that is
+    // missing.
     let _ = compio::time::timeout(Duration::from_millis(wait_ms), settled.notified()).await;
     stats::held_for_load();
-    let waited_ms = path.clock.now_ms().saturating_sub(came_ms);
+    let waited_ms = path.clock.now_ms().saturating_sub(received_ms);
     path.events.emit(Kind::RequestQueued, |e| {
         e.request_id = head.request_id.clone().unwrap_or_default();
         e.detail = format!("{waited_ms} ms for this router's first load");
@@ -193,7 +200,7 @@
     let bytes = header_bytes(parts);
     if bytes > limits.max_header_bytes {
         let detail = format!(
-            "headers: {bytes} bytes of at most {}",
+            "headers have {bytes} bytes, the limit is {}",
             limits.max_header_bytes
         );
         return Err(Refused::not_run(Cause::TooLarge, 0, detail));
@@ -205,7 +212,7 @@
     Refused::not_run(error.cause(), 0, error.to_string())
 }
 
-/// Request line and headers as they were sent, but for optional spaces.
+/// Size of the request line and headers as sent, except for optional spaces.
 fn header_bytes(parts: &Parts) -> usize {
     const SEPARATORS: usize = ": \r\n".len();
     let line = parts.method.as_str().len() + parts.uri.to_string().len();
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, accounts and limits as an operator last set them: a table without network or clock.
+//! Routes, accounts and limits as configured by operators. No I/O and no clock.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,72 +8,73 @@
 use crate::path::regions::Homes;
 use crate::util::Name;
 
-/// What a failed request may do.
+/// Whether and how a failed request may run again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeat {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It runs once at most.
+    /// The request runs at most once.
     Never,
-    /// Its answer is a stream of events; a broken one may go on elsewhere if it is resumable.
+    /// The answer is an event stream; one that breaks off may be resumed elsewhere if it is
+    /// resumable.
     Stream {
-        /// A run may go on after the last event that arrived.
+        /// Whether another run may continue after the last event received.
         resumable: bool,
     },
 }
 
 impl Repeat {
-    /// Whether a run that may have begun forbids another.
+    /// Whether another run is forbidden after one that may have begun.
     pub fn at_most_once(self) -> bool {
         matches!(self, Self::Never | Self::Stream { resumable: false })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One of the services that a route's requests may go to.
+/// One of the services to which requests of a route may be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: Name,
-    /// Its share of the requests, against the others' weights.
+    /// Weight of the service, relative to the other targets.
     pub weight: f64,
 }
 
-/// Which requests go where, and what holds for them.
+/// Set of requests, the services that they are sent to, and the rules that apply to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name given by the operator.
     pub name: Name,
     /// Begins and ends with a slash.
     pub path_prefix: Name,
     /// Never empty.
     pub targets: Vec<Target>,
-    /// What a failed request may do.
+    /// Whether and how a failed request may run again.
     pub repeat: Repeat,
-    /// Longest time until the whole answer.
+    /// Time limit for the whole answer.
     pub timeout_ms: u64,
-    /// Time until the answer, or a stream's first event, that callers want kept.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub objective_ms: u64,
-    /// Pause between a stream's events that callers want kept.
+    /// Objective for the gap between two events of a stream.
     pub gap_objective_ms: u64,
-    /// Upstreams that one request may run on.
+    /// Maximum number of upstreams that may run one request.
     pub max_attempts: u32,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Needs no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Its prompts share parts that upstreams cache.
+    /// Whether prompts share parts that upstreams cache.
     pub cached_prompts: bool,
     /// Regions that its requests may go to.
     pub homes: Homes,
 }
 
 impl Route {
-    /// A service for one request, drawn by weight.
+    /// Draws a service for one request by weight.
     pub fn draw_service<R: Rng>(&self, rng: &mut R) -> &Name {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
         let mut left = rng.random::<f64>() * total;
@@ -90,29 +91,29 @@
 /// A client account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
-    /// Its name, told to upstreams.
+    /// Name, which is sent to upstreams.
     pub name: Name,
-    /// Goes before the route's; among equal ones that decides.
+    /// Takes precedence over the priority of the route, which decides among equal ones.
     pub priority: Option<u8>,
     /// Regions that its requests may go to.
     pub homes: Homes,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits of the size and duration of requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Request line and headers.
+    /// Size limit of the request line and headers.
     pub max_header_bytes: usize,
-    /// Request body.
+    /// Size limit of the request body.
     pub max_body_bytes: usize,
-    /// From a head's first byte to its last.
+    /// Time limit from the first to the last byte of a head.
     pub header_timeout_ms: u64,
-    /// Between two requests on one connection.
+    /// Time limit between two requests on one connection.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Holds until an operator's configuration is known.
+    /// Limits until the first configuration is received.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
@@ -123,41 +124,41 @@
     }
 }
 
-/// One host's routes, longest prefix first.
+/// Routes of one host, longest prefix first.
 type HostRoutes = Vec<Rc<Route>>;
 
-/// A whole configuration.
+/// Complete configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// Grows with each change; 0 before the first is known.
+    /// Increases with each change; 0 before the first configuration.
     pub version: u64,
-    /// What callers may send.
+    /// Limits of requests.
     pub limits: CallerLimits,
     routes: HashMap<Name, HostRoutes>,
     accounts: HashMap<Name, Rc<Account>>,
     has_accounts: bool,
     max_connections: HashMap<Name, u32>,
     cold_per_s: HashMap<Name, f64>,
-    /// Priorities of each service's routes, in order, each once.
+    /// Distinct priorities of the routes of each service, in order.
     route_priorities: HashMap<Name, Vec<u8>>,
-    /// Those of the accounts.
+    /// Distinct priorities of the accounts, in order.
     account_priorities: Vec<u8>,
 }
 
-/// A configuration as it is read, before it is indexed.
+/// Configuration as decoded, before it is indexed.
 #[derive(Clone, Debug, Default)]
 pub struct Draft {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// What callers may send.
+    /// Limits of requests.
     pub limits: CallerLimits,
     /// Routes with their host names.
     pub routes: Vec<(Name, Route)>,
-    /// Accounts by key; `None` where no key is asked for.
+    /// Accounts by key; `None` if no key is required.
     pub accounts: Option<Vec<(Name, Rc<Account>)>>,
-    /// Connections that each upstream of a service takes from all routers together, by service.
+    /// Connections that each upstream of a service accepts from all routers together, by service.
     pub max_connections: Vec<(Name, u32)>,
-    /// Requests a second that an upstream of a service bears while it is cold, by service.
+    /// Requests per second that a cold upstream of a service can handle, by service.
     pub cold_per_s: Vec<(Name, f64)>,
 }
 
@@ -237,30 +238,31 @@
         of_host.iter().find(|r| path.starts_with(&*r.path_prefix))
     }
 
-    /// The homes of those routes of `host` that have some.
+    /// Allowed regions of those routes of `host` that are bound to regions.
     pub fn homes(&self, host: &str) -> Vec<&Homes> {
         let routes = self.routes.get(host).into_iter().flatten();
         let homes = routes.map(|r| &r.homes);
         homes.filter(|h| h.is_some()).collect()
     }
 
-    /// Connections that each upstream of `service` takes from all routers together, if it says.
+    /// Connections that each upstream of `service` accepts from all routers together, if configured.
     pub fn max_connections(&self, service: &str) -> Option<u32> {
         self.max_connections.get(service).copied()
     }
 
-    /// Requests a second that an upstream of `service` bears while it is cold, if it says.
+    /// Requests per second that a cold upstream of `service` can handle, if configured.
     pub fn cold_per_s(&self, service: &str) -> Option<f64> {
         self.cold_per_s.get(service).copied()
     }
 
-    /// How many kinds of request to `service` are more urgent than one of an account and a route of these
-    /// priorities. The account's goes first, the route's decides among requests of equal accounts. Operators
-    /// number both as they like, and only the order says what is urgent beside what.
+    /// Returns how many priority classes of `service` are more urgent than that of a request with
+    /// these priorities of its account and route. The priority of the account takes precedence, and
+    /// that of the route decides among equal accounts. Operators choose the numbers freely, so only
+    /// their order matters.
     ///
-    /// Failure guarded against: all accounts have the same priority, and put in place of the routes' it
-    /// makes all kinds of request equal, here and at the upstreams: under overload the dearest is then
-    /// served no better than the least.
+    /// Failure guarded against: all accounts have the same priority. If it replaced that of the
+    /// routes, all requests would be equal, here and at the upstreams, and under overload the most
+    /// important ones would be served no better than the least.
     pub fn rank(&self, service: &str, account: Option<u8>, route: u8) -> u8 {
         let routes = self
             .route_priorities
@@ -272,12 +274,12 @@
         u8::try_from(rank).unwrap_or(u8::MAX)
     }
 
-    /// Whether keys are asked for at all.
+    /// Whether requests need a key at all.
     pub fn asks_for_keys(&self) -> bool {
         self.has_accounts
     }
 
-    /// The account that holds `key`.
+    /// Returns the account that owns `key`.
     pub fn account(&self, key: &str) -> Option<&Rc<Account>> {
         self.accounts.get(key)
     }
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -1,8 +1,9 @@
-//! A planned stop: callers are led away first, then what is in flight ends.
+//! Planned stop: moves callers to other routers first, then finishes the requests in flight.
 //!
-//! Failure guarded against: a router is told to stop, callers still hold its address, and their
-//! requests are cut. It leaves the entry answers at once and serves on, closing connections after
-//! their answers, until every caller has asked anew; only then is new work refused.
+//! Failure guarded against: a router is stopped while callers still use its address, and their
+//! requests are cut off. It is removed from entry answers at once and continues to serve, closing
+//! each connection after its answer, until every caller has queried the entry again. Only then is
+//! new work refused.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,18 +12,19 @@
 use crate::front::drain::Phase;
 use crate::path::Path;
 
-/// Some callers keep an entry answer for this many times what it says.
-const HELD_FACTOR: u32 = 3;
-/// Share of the grace time after which the process is gone by itself.
+/// Some callers cache an entry answer for this multiple of its lifetime.
+const ENTRY_TTL_FACTOR: u32 = 3;
+/// Share of the grace time within which the process exits by itself.
 const GRACE_SHARE: f64 = 0.95;
-/// Stops; returns when the process may end.
+
+/// Stops the router, and returns when the process may exit.
 pub(crate) async fn run<D>(path: &Rc<Path<D>>, entry_ttl: Duration, grace: Duration) {
     let started = Instant::now();
     let limit = grace.mul_f64(GRACE_SHARE);
     path.drain.enter(Phase::Leaving);
     path.gossip.note(Note::Leave);
-    let learnt = entry_ttl * HELD_FACTOR;
-    compio::time::sleep(learnt.min(limit / 2)).await;
+    let notice = entry_ttl * ENTRY_TTL_FACTOR;
+    compio::time::sleep(notice.min(limit / 2)).await;
     path.drain.enter(Phase::Refusing);
     let left = path
         .drain
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -1,8 +1,9 @@
-//! Requests that are held to have crashed upstreams, as this router saw and others told.
+//! Requests suspected of crashing upstreams, by the observations of this router and of others.
 //!
-//! A lost answer alone says little: connections break for many reasons. A request is suspected only
-//! if the upstream that lost it is found dead within [`FOUND_DEAD_MS`]: it refuses connections, or
-//! its entry goes. All that ran beside it are suspected too, until one of them is answered.
+//! A lost answer alone means little, as connections break for many reasons. A request is suspected
+//! only if the upstream that lost it is found dead within [`FOUND_DEAD_MS`]: it refuses
+//! connections, or its entry is removed. All requests that ran on it at the same time are suspected
+//! too, until one of them is answered.
 
 use std::collections::VecDeque;
 
@@ -10,72 +11,73 @@
 use crate::schema::peer::Suspicion;
 use crate::util::Name;
 
-/// A crashed upstream refuses connections at once, and its entry lapses after some of its
-/// heartbeats.
+/// A crashed upstream refuses connections at once, and its entry expires after some heartbeats.
 const FOUND_DEAD_MS: u64 = 6_000;
-/// Lost answers that are remembered; more in so short a time are an outage, not a request's doing.
-const MAX_LOST: usize = 256;
+/// Number of lost answers that are kept. More in so short a time indicate an outage, not a harmful
+/// request.
+const MAX_LOST_ANSWERS: usize = 256;
 
-struct Lost {
+struct LostAnswer {
     at_ms: u64,
     upstream: Name,
     fingerprint: u64,
 }
 
-/// What one router holds against requests.
+/// Suspicions of one router against requests.
 #[derive(Default)]
 pub(crate) struct Suspects {
     quarantine: Quarantine,
-    lost: VecDeque<Lost>,
+    lost: VecDeque<LostAnswer>,
 }
 
 impl Suspects {
-    /// How much longer the request may not run, if it may not.
-    pub(crate) fn convicted_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
+    /// Remaining time of the quarantine of the request, if it is quarantined.
+    pub(crate) fn quarantine_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
         match self.quarantine.standing(fingerprint, now_ms) {
             Standing::Convicted { left_ms } => Some(left_ms),
             Standing::Free | Standing::Suspect => None,
         }
     }
 
-    /// The answer of `upstream` to a request broke off.
-    pub(crate) fn lost(&mut self, upstream: &Name, fingerprint: u64, now_ms: u64) {
-        if self.lost.len() >= MAX_LOST {
+    /// Records that the answer of `upstream` to a request broke off.
+    pub(crate) fn record_lost_answer(&mut self, upstream: &Name, fingerprint: u64, now_ms: u64) {
+        if self.lost.len() >= MAX_LOST_ANSWERS {
             self.lost.pop_front();
         }
-        self.lost.push_back(Lost {
+        self.lost.push_back(LostAnswer {
             at_ms: now_ms,
             upstream: upstream.clone(),
             fingerprint,
         });
     }
 
-    /// `upstream` is dead. Returns what the other routers are to be told.
-    pub(crate) fn died(&mut self, upstream: &str, now_ms: u64) -> Vec<Suspicion> {
-        let is_old = |l: &Lost| now_ms.saturating_sub(l.at_ms) > FOUND_DEAD_MS;
+    /// Records the death of `upstream`. Returns the suspicions to publish to the other routers.
+    pub(crate) fn record_death(&mut self, upstream: &str, now_ms: u64) -> Vec<Suspicion> {
+        let is_old = |l: &LostAnswer| now_ms.saturating_sub(l.at_ms) > FOUND_DEAD_MS;
         self.lost.retain(|l| !is_old(l));
         let (dead, others) = std::mem::take(&mut self.lost)
             .into_iter()
             .partition(|l| *l.upstream == *upstream);
         self.lost = others;
-        let dead: VecDeque<Lost> = dead;
-        let mut told = Vec::new();
+        let dead: VecDeque<LostAnswer> = dead;
+        let mut suspicions = Vec::new();
         for lost in dead {
             let deaths = self.quarantine.died(lost.fingerprint, false, now_ms);
-            told.push(Suspicion {
+            suspicions.push(Suspicion {
                 fingerprint: lost.fingerprint,
                 deaths,
                 cleared: false,
                 age_ms: 0,
             });
         }
-        told
+        suspicions
     }
 
-    /// The request was answered. Returns what the other routers are to be told.
-    pub(crate) fn answered(&mut self, fingerprint: u64) -> Option<Suspicion> {
-        let was_held = self.quarantine.succeeded(fingerprint);
-        was_held.then_some(Suspicion {
+    /// Clears the request after it was answered. Returns the suspicion to publish, if there was
+    /// one.
+    pub(crate) fn clear(&mut self, fingerprint: u64) -> Option<Suspicion> {
+        let was_suspected = self.quarantine.succeeded(fingerprint);
+        was_suspected.then_some(Suspicion {
             fingerprint,
             deaths: 0,
             cleared: true,
@@ -83,14 +85,14 @@
         })
     }
 
-    /// Takes what another router told.
-    pub(crate) fn heard(&mut self, told: &Suspicion, now_ms: u64) {
+    /// Applies a suspicion that another router published.
+    pub(crate) fn merge(&mut self, suspicion: &Suspicion, now_ms: u64) {
         let Suspicion {
             fingerprint,
             deaths,
             cleared,
             age_ms,
-        } = *told;
+        } = *suspicion;
         self.quarantine
             .heard(fingerprint, deaths, cleared, age_ms, now_ms);
     }
--- a/src/path/suspend.rs
+++ b/src/path/suspend.rs
@@ -1,4 +1,4 @@
-//! The guard against a process that was suspended: its host slept, or it was stopped and continued.
+//! Detects that the process was suspended: its host slept, or it was stopped and continued.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,21 +8,21 @@
 use crate::plant::{Plant, planted};
 use crate::util::Clock;
 
-/// The pause between two looks at the clock that shows a suspension: five times the pause of the task
-/// that looks, so that a slow host isn't taken for a suspended one.
+/// Gap between two checks of the clock that indicates a suspension: five times the interval of the
+/// task that checks it, so that a slow host is not mistaken for a suspended one.
 const SUSPENDED_MS: u64 = 1_000;
 
-/// Whether this router has asked anew since it was last suspended.
+/// Whether this router has refreshed its state since it was last suspended.
 ///
-/// Failure guarded against: a process continues after seconds, and what waits in its sockets comes
-/// first: requests, handled as was allowed before, and what other routers told meanwhile, which says
-/// how old it was when it was sent. Until this router has asked the log or another router anew, it
-/// confirms nothing by such news and takes all that it knows for stale.
+/// Failure guarded against: a process continues after seconds and first handles what is queued in
+/// its sockets: requests, which it would handle by outdated rules, and gossip of other routers,
+/// whose ages were correct when it was sent. Until this router has queried the log or a peer again,
+/// it does not confirm its state by such gossip and treats all of it as stale.
 pub(crate) struct SuspendGuard {
     clock: Clock,
-    /// When the clock was last looked at.
-    looked_ms: Cell<u64>,
-    /// When this router was resumed, as long as it hasn't asked anew since.
+    /// Time of the last check of the clock.
+    checked_ms: Cell<u64>,
+    /// Time at which this router was resumed, until it has refreshed its state.
     resumed_ms: Cell<Option<u64>>,
     resumed: Rc<Notify>,
     refreshed: Rc<Notify>,
@@ -32,17 +32,17 @@
     pub(crate) fn new(clock: Clock) -> Self {
         Self {
             clock,
-            looked_ms: Cell::new(clock.now_ms()),
+            checked_ms: Cell::new(clock.now_ms()),
             resumed_ms: Cell::default(),
             resumed: Rc::default(),
             refreshed: Rc::default(),
         }
     }
 
-    /// Looks at the clock; tells whether this router was suspended since the last look.
-    pub(crate) fn look(&self) -> bool {
+    /// Checks the clock, and returns whether this router was suspended since the last check.
+    pub(crate) fn check_clock(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        let pause_ms = now_ms.saturating_sub(self.looked_ms.replace(now_ms));
+        let pause_ms = now_ms.saturating_sub(self.checked_ms.replace(now_ms));
         if pause_ms <= SUSPENDED_MS || planted(Plant::BelieveOldMarks) {
             return false;
         }
@@ -52,13 +52,14 @@
         true
     }
 
-    /// Whether nobody was asked yet since this router was suspended.
+    /// Whether the state was not refreshed since this router was suspended.
     pub(crate) fn needs_refresh(&self) -> bool {
         self.resumed_ms.get().is_some()
     }
 
-    /// Somebody who was asked at `asked_ms` told what the log says.
-    pub(crate) fn told_anew(&self, asked_ms: u64) {
+    /// Notes that the log or a peer answered a request sent at `asked_ms` with the state of the
+    /// log.
+    pub(crate) fn refreshed_at(&self, asked_ms: u64) {
         if self
             .resumed_ms
             .get()
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Notified when this router finds that it was suspended.
+    /// Notified when a suspension is detected.
     pub(crate) fn resumed(&self) -> Rc<Notify> {
         self.resumed.clone()
     }
 
-    /// Notified when this router has asked anew after that.
+    /// Notified when the state was refreshed after a suspension.
     pub(crate) fn refreshed(&self) -> Rc<Notify> {
         self.refreshed.clone()
     }
--- a/src/path/upstreams.rs
+++ b/src/path/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that are there, as they last told the platform: a table without network.
+//! Table of the upstreams as they last reported to the platform. No I/O.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,34 +6,36 @@
 
 use crate::util::Name;
 
-/// One upstream as it last told of itself.
+/// Upstream as it last reported itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Its name; a restart may keep it.
+    /// Id, which a restart may keep.
     pub id: Name,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre.
     pub data_center: Name,
-    /// Requests that it runs at once; 0 if it doesn't say.
+    /// Number of requests that it runs at once; 0 if not reported.
     pub slots: u32,
-    /// When it started, in Unix milliseconds; 0 if it doesn't say. One that starts again under its id has
-    /// nothing of before.
+    /// Start time in Unix milliseconds; 0 if not reported. An upstream that restarts under its id
+    /// has lost its earlier state.
     pub started_ms: u64,
-    /// It is going away and takes no new work.
+    /// Whether it is shutting down and accepts no new work.
     pub draining: bool,
-    /// How much longer it stayed cold when it said so.
+    /// Remaining time that it stays cold, as of its report.
     pub cold_ms: u64,
 }
 
 impl Upstream {
-    /// Whether `next` says nothing that matters beyond this: at most that it is a little less cold.
+    /// Whether `next` adds nothing of relevance to this record: it differs at most in a shorter
+    /// remaining cold time.
     ///
-    /// Failure guarded against: a cold upstream writes each second how much longer it stays so. Taken for changes, a start of
-    /// thousands is told between hundreds of routers several times over.
-    fn covers(&self, next: &Self) -> bool {
+    /// Failure guarded against: a cold upstream writes its remaining cold time every second. If
+    /// these records counted as changes, the start of thousands of upstreams would be sent between
+    /// hundreds of routers several times over.
+    fn makes_redundant(&self, next: &Self) -> bool {
         let counts_down = next.cold_ms > 0 && next.cold_ms <= self.cold_ms;
         let rest = Self {
             cold_ms: self.cold_ms,
@@ -43,7 +45,7 @@
     }
 }
 
-/// All upstreams that are there.
+/// All known upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Upstreams {
     by_id: HashMap<Name, Rc<Upstream>>,
@@ -51,8 +53,7 @@
 }
 
 impl Upstreams {
-    /// Adds an upstream, or takes over what it says now. Tells whether anything changed that
-    /// matters to where requests go.
+    /// Adds or updates an upstream, and returns whether anything relevant to routing changed.
     ///
     /// ```
     /// use cassiagrade::path::upstreams::{Upstream, Upstreams};
@@ -83,7 +84,7 @@
         if self
             .by_id
             .get(&upstream.id)
-            .is_some_and(|u| u.covers(&upstream))
+            .is_some_and(|u| u.makes_redundant(&upstream))
         {
             return false;
         }
@@ -91,57 +92,57 @@
         let upstream = Rc::new(upstream);
         self.by_id.insert(upstream.id.clone(), upstream.clone());
         let pool = self.pools.entry(upstream.service.clone()).or_default();
-        let (Ok(at) | Err(at)) = place(pool, &upstream.id);
+        let (Ok(at) | Err(at)) = position(pool, &upstream.id);
         pool.insert(at, upstream);
         true
     }
 
-    /// Forgets an upstream; tells whether it was known.
+    /// Removes an upstream, and returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
-        let Some(gone) = self.by_id.remove(id) else {
+        let Some(removed) = self.by_id.remove(id) else {
             return false;
         };
-        if let Some(pool) = self.pools.get_mut(&gone.service)
-            && let Ok(at) = place(pool, id)
+        if let Some(pool) = self.pools.get_mut(&removed.service)
+            && let Ok(at) = position(pool, id)
         {
             pool.remove(at);
         }
         true
     }
 
-    /// The upstreams of `service`, also those that drain, in the order of their ids.
+    /// Upstreams of `service`, including draining ones, in the order of their ids.
     pub fn pool(&self, service: &str) -> &[Rc<Upstream>] {
         self.pools.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The pools of all services.
+    /// Pools of all services.
     pub fn pools(&self) -> impl Iterator<Item = &[Rc<Upstream>]> {
         self.pools.values().map(Vec::as_slice)
     }
 
-    /// The upstream `id`, also while it drains.
+    /// Upstream `id`, also while it drains.
     pub fn get(&self, id: &str) -> Option<&Rc<Upstream>> {
         self.by_id.get(id)
     }
 
-    /// The ids of all.
+    /// Ids of all upstreams.
     pub fn ids(&self) -> Vec<Name> {
         self.by_id.keys().cloned().collect()
     }
 
-    /// How many are known.
+    /// Number of known upstreams.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is known.
+    /// Whether no upstream is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 }
 
-/// Where `id` stands in a pool, or would. Pools are kept in order: putting each of 3,000 upstreams that
-/// start together costs a search, not a sort of all.
-fn place(pool: &[Rc<Upstream>], id: &str) -> Result<usize, usize> {
+/// Returns the position of `id` in a pool, or its insertion point. Pools are sorted: adding each of
+/// 3,000 upstreams that start together costs a search instead of a sort of the whole pool.
+fn position(pool: &[Rc<Upstream>], id: &str) -> Result<usize, usize> {
     pool.binary_search_by(|u| (*u.id).cmp(id))
 }
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -19,7 +19,7 @@
 use crate::log::view::ConfigView;
 use crate::logs;
 use crate::path::beliefs::{Beliefs, RetryLimit};
-use crate::path::gate::Gates;
+use crate::path::gate::AdmissionQueues;
 use crate::path::link::Links;
 use crate::path::news::{News, Paces};
 use crate::path::regions::Regions;
@@ -80,7 +80,7 @@
         let path = Rc::new(Path {
             news: News::new(beliefs.clone(), clock, paces(&policy)),
             beliefs,
-            gates: Gates::open(clock),
+            queues: AdmissionQueues::open(clock),
             links: Links::default(),
             clock,
             drain: Drain::default(),
