--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -22,9 +22,9 @@
 use crate::schema::settings::Decisions;
 use crate::util::{self, Name};
 
-/// Number of upstreams that one request tries. Each attempt costs a round trip, and after this many
+/// Maximum number of upstreams tried for one request. Each attempt costs a round trip, and after this many
 /// rejections the pool is most likely full, so a quick refusal serves the caller better.
-const MAX_ATTEMPTS: usize = 4;
+const MAX_UPSTREAMS_TRIED: usize = 4;
 /// Minimum remaining time for an attempt. With less, the answer would arrive after the deadline.
 const MIN_REMAINING: Duration = Duration::from_millis(20);
 /// Base of `Retry-After` if all upstreams of a service are full or unreachable: the duration of a
@@ -211,7 +211,7 @@
                     return Err(self.refuse(cause, failed.reason));
                 }
             }
-            if self.tried.len() >= MAX_ATTEMPTS {
+            if self.tried.len() >= MAX_UPSTREAMS_TRIED {
                 let cause = if failed.kind == FailureKind::Rejected {
                     Cause::Full
                 } else {
@@ -289,12 +289,12 @@
         let now_ms = context.path.clock.now_ms();
         let tried = Tried {
             upstreams: &self.tried,
-            may_return: self.runs > 0,
+            may_repeat: self.runs > 0,
         };
         let max_open = self.connection_share().open;
         let beliefs = &context.path.beliefs;
-        let of_account = context.account.as_ref().map_or(&None, |a| &a.homes);
-        let homes = [&context.route.homes, of_account];
+        let account_homes = context.account.as_ref().map_or(&None, |a| &a.homes);
+        let homes = [&context.route.homes, account_homes];
         let (pool, seats) = beliefs.pool(&context.service, &tried, &homes, max_open, now_ms);
         let decisions = beliefs.decisions();
         let placed = match shared_part(&context.head.prompt_parts) {
--- a/src/path/beliefs.rs
+++ b/src/path/beliefs.rs
@@ -80,7 +80,7 @@
     pub(crate) upstreams: &'a [Name],
     /// Whether the request may return to them if no other upstream is left: they ran the request
     /// and failed, rather than rejecting it.
-    pub(crate) may_return: bool,
+    pub(crate) may_repeat: bool,
 }
 
 impl Tried<'_> {
@@ -405,9 +405,9 @@
         let upstreams = self.upstreams.borrow();
         let (mut running, mut slots) = (0.0, 0);
         for upstream in upstreams.pool(service) {
-            let of_others = load.upstreams.get(&digest(&upstream.id));
+            let peer_load = load.upstreams.get(&digest(&upstream.id));
             running += f64::from(own.get(&upstream.id).copied().unwrap_or(0));
-            running += of_others.map_or(0.0, |t| t.running);
+            running += peer_load.map_or(0.0, |t| t.running);
             slots += upstream.slots;
         }
         slots > 0 && running >= f64::from(slots) * LOADED_SHARE
--- a/src/path/beliefs/pool.rs
+++ b/src/path/beliefs/pool.rs
@@ -70,7 +70,7 @@
             |u: &Upstream| decisions.unreachable && health.is_unreachable(u, now_ms);
         let is_barred = |u: &Upstream, relaxation: Relaxation| {
             is_closed(u)
-                || (relaxation < Relaxation::Tried || !tried.may_return) && tried.contains(&u.id)
+                || (relaxation < Relaxation::Tried || !tried.may_repeat) && tried.contains(&u.id)
                 || relaxation < Relaxation::Unreachable && is_unreachable(u)
                 || relaxation < Relaxation::Ejected && is_ejected(u)
         };
@@ -81,11 +81,11 @@
                 .filter(|_| decisions.told_counts)
                 .map_or(0.0, |t| t.running)
         };
-        let mut of_others: Vec<f64> = pool.iter().map(reported).collect();
-        spread::steady(&mut of_others, load.share);
-        let seat = |(u, of_others): (&Rc<Upstream>, &f64)| Seat {
+        let mut peer_load: Vec<f64> = pool.iter().map(reported).collect();
+        spread::steady(&mut peer_load, load.share);
+        let seat = |(u, peer_load): (&Rc<Upstream>, &f64)| Seat {
             id_hash: util::hash_bytes(u.id.as_bytes()),
-            running: own(u) + of_others.round() as u32,
+            running: own(u) + peer_load.round() as u32,
             own: own(u),
             slots: u.slots,
             near: u.data_center == self.data_center,
@@ -97,7 +97,7 @@
                     .get(&u.id)
                     .is_none_or(|at| at + CACHE_WARMUP_MS < now_ms),
         };
-        let mut seats: Vec<Seat> = pool.iter().zip(&of_others).map(seat).collect();
+        let mut seats: Vec<Seat> = pool.iter().zip(&peer_load).map(seat).collect();
         for relaxation in RELAXATIONS {
             if seats.iter().any(|s| !s.barred) {
                 break;
--- a/src/path/beliefs_tests.rs
+++ b/src/path/beliefs_tests.rs
@@ -50,7 +50,7 @@
 fn open(beliefs: &Beliefs) -> usize {
     let tried = Tried {
         upstreams: &[],
-        may_return: false,
+        may_repeat: false,
     };
     let (_, seats) = beliefs.pool("s", &tried, &[], u32::MAX, 1);
     seats.iter().filter(|s| !s.barred).count()
@@ -126,7 +126,7 @@
     let home = Some(["home".into()].into());
     let tried = Tried {
         upstreams: &[],
-        may_return: false,
+        may_repeat: false,
     };
     let open = |homes: &[&Homes]| {
         let (_, seats) = beliefs.pool("s", &tried, homes, u32::MAX, 1);
--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -156,12 +156,12 @@
         call: &Call<'_>,
     ) -> Result<(Parts, Incoming, Link), CallError> {
         let timeout = compio::time::timeout(call.timeout, async {
-            let kept = if call.new_connection {
+            let idle = if call.new_connection {
                 None
             } else {
-                self.links.kept(&upstream.id)
+                self.links.take_idle(&upstream.id)
             };
-            let Some(link) = kept else {
+            let Some(link) = idle else {
                 return self.send_on_new(upstream, call).await;
             };
             match send_on(link, call).await {
@@ -207,7 +207,7 @@
         let read = compio::time::timeout(CONNECT_TIMEOUT, body.collect()).await;
         if matches!(read, Ok(Ok(_))) {
             self.links
-                .keep(&upstream.id, link, &parts.headers, self.share);
+                .put_back(&upstream.id, link, &parts.headers, self.share);
         }
     }
 }
@@ -316,7 +316,7 @@
         });
         let body = read.await.ok()??;
         drop(running);
-        links.keep(&upstream.id, link, &parts.headers, share);
+        links.put_back(&upstream.id, link, &parts.headers, share);
         Some(BufferedReply {
             upstream: upstream.id.clone(),
             parts,
@@ -339,7 +339,7 @@
 
     /// Returns the connection to the pool after the whole body was read.
     pub(crate) fn finish(self) {
-        self.links.keep(
+        self.links.put_back(
             &self.upstream.id,
             self.link,
             &self.parts.headers,
--- a/src/path/link.rs
+++ b/src/path/link.rs
@@ -46,7 +46,7 @@
     pub(crate) sender: Sender,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     until: Instant,
 }
@@ -54,19 +54,19 @@
 /// Pool of idle connections.
 #[derive(Clone, Default)]
 pub(crate) struct Links {
-    idle: Rc<RefCell<HashMap<Name, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<Name, Vec<IdleConnection>>>>,
 }
 
 impl Links {
     /// Takes an idle connection to `upstream` that can still be used.
-    pub(crate) fn kept(&self, upstream: &str) -> Option<Link> {
+    pub(crate) fn take_idle(&self, upstream: &str) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
-        let of_upstream = idle.get_mut(upstream)?;
+        let connections = idle.get_mut(upstream)?;
         let now = Instant::now();
-        while let Some(kept) = of_upstream.pop() {
-            if kept.until > now && kept.sender.is_ready() {
+        while let Some(idle_connection) = connections.pop() {
+            if idle_connection.until > now && idle_connection.sender.is_ready() {
                 return Some(Link {
-                    sender: kept.sender,
+                    sender: idle_connection.sender,
                 });
             }
         }
@@ -74,17 +74,19 @@
     }
 
     /// Returns a connection to the pool after its answer was read to the end.
-    pub(crate) fn keep(&self, upstream: &Name, link: Link, answer: &HeaderMap, share: Share) {
+    pub(crate) fn put_back(&self, upstream: &Name, link: Link, answer: &HeaderMap, share: Share) {
         let now = Instant::now();
         let Some(timeout) = idle_timeout(answer) else {
             return;
         };
         let mut idle = self.idle.borrow_mut();
-        let of_upstream = idle.entry(upstream.clone()).or_default();
-        of_upstream.retain(|kept| kept.until > now && !kept.sender.is_closed());
-        if of_upstream.len() < share.idle as usize {
+        let connections = idle.entry(upstream.clone()).or_default();
+        connections.retain(|idle_connection| {
+            idle_connection.until > now && !idle_connection.sender.is_closed()
+        });
+        if connections.len() < share.idle as usize {
             let until = now + timeout.mul_f64(IDLE_SHARE);
-            of_upstream.push(Idle {
+            connections.push(IdleConnection {
                 sender: link.sender,
                 until,
             });
@@ -94,9 +96,9 @@
     /// Closes idle connections to `upstream` until at most `max_idle` are left.
     pub(crate) fn close_excess(&self, upstream: &str, max_idle: u32) {
         let mut idle = self.idle.borrow_mut();
-        if let Some(of_upstream) = idle.get_mut(upstream) {
-            let excess = of_upstream.len().saturating_sub(max_idle as usize);
-            of_upstream.drain(..excess);
+        if let Some(connections) = idle.get_mut(upstream) {
+            let excess = connections.len().saturating_sub(max_idle as usize);
+            connections.drain(..excess);
         }
     }
 
--- a/src/path/news.rs
+++ b/src/path/news.rs
@@ -260,7 +260,7 @@
         self.start_at(end);
         self.finish_bulk_update("the store");
         self.confirm_upstreams(asked_ms);
-        self.suspend.refreshed_at(asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
     /// Applies the records of upstreams from offset `from` on, which were all there were at
@@ -274,7 +274,7 @@
             }
         }
         self.confirm_upstreams(seen_ms);
-        self.suspend.refreshed_at(asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
     fn record(&self, at: u64, record: Record) {
--- a/src/path/news/orders.rs
+++ b/src/path/news/orders.rs
@@ -23,7 +23,7 @@
         }
         self.beliefs.change_evacuations(|e| e.advance_to(end));
         self.confirm_config(seen_ms);
-        self.suspend.refreshed_at(asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
     /// Applies the newest records of operators up to offset `end`.
@@ -41,7 +41,7 @@
         }
         self.replace_evacuated(end, evacuated, "the store");
         self.confirm_config(asked_ms);
-        self.suspend.refreshed_at(asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
     fn apply_order(&self, at: u64, order: Order) {
--- a/src/path/news/told.rs
+++ b/src/path/news/told.rs
@@ -12,7 +12,7 @@
 use crate::schema::peer::{NewsAsk, NewsGive, NewsMark, UpstreamNews};
 use crate::util::Name;
 
-/// Age sent in place of that of upstreams which the sender knows but does not send.
+/// Age sent for the upstreams if the sender has newer ones that it does not send.
 const NOT_SENT_MS: u32 = u32::MAX;
 /// Age of state that the sender does not have: older than any clock, so that it confirms nothing.
 const UNKNOWN_MS: u32 = u32::MAX - 1;
@@ -169,7 +169,7 @@
             self.request_read();
         }
         self.confirm(&mark, asked_ms);
-        self.suspend.refreshed_at(asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
     /// Applies the upstreams of an answer, and returns whether they could be decoded.
--- a/src/path/request.rs
+++ b/src/path/request.rs
@@ -243,7 +243,7 @@
     route: &Route,
     head: &CallerHead,
 ) -> Result<Option<Rc<Account>>, Refused> {
-    if !deployment.asks_for_keys() {
+    if !deployment.requires_keys() {
         return Ok(None);
     }
     let account = head.key.as_deref().and_then(|key| deployment.account(key));
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -174,8 +174,8 @@
             let host: Name = host.to_ascii_lowercase().into();
             routes.entry(host).or_default().push(Rc::new(route));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
         }
         Self {
             version: draft.version,
@@ -231,11 +231,13 @@
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let of_host = match self.routes.get(name) {
+        let host_routes = match self.routes.get(name) {
             Some(routes) => routes,
             None => self.routes.get(&*name.to_ascii_lowercase())?,
         };
-        of_host.iter().find(|r| path.starts_with(&*r.path_prefix))
+        host_routes
+            .iter()
+            .find(|r| path.starts_with(&*r.path_prefix))
     }
 
     /// Allowed regions of those routes of `host` that are bound to regions.
@@ -269,13 +271,13 @@
             .get(service)
             .map_or(&[][..], Vec::as_slice);
         let before = |known: &[u8], priority: u8| known.partition_point(|p| *p < priority);
-        let of_account = before(&self.account_priorities, account.unwrap_or(route));
-        let rank = of_account * routes.len().max(1) + before(routes, route);
+        let account_rank = before(&self.account_priorities, account.unwrap_or(route));
+        let rank = account_rank * routes.len().max(1) + before(routes, route);
         u8::try_from(rank).unwrap_or(u8::MAX)
     }
 
     /// Whether requests need a key at all.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.has_accounts
     }
 
--- a/src/path/suspend.rs
+++ b/src/path/suspend.rs
@@ -59,7 +59,7 @@
 
     /// Notes that the log or a peer answered a request sent at `asked_ms` with the state of the
     /// log.
-    pub(crate) fn refreshed_at(&self, asked_ms: u64) {
+    pub(crate) fn record_refresh(&self, asked_ms: u64) {
         if self
             .resumed_ms
             .get()
