--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::log::Log;
-use crate::log::claims::{self, SLOTS, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, SLOTS, Verdict};
 use crate::log::group::{Group, LogDown, Waiting};
-use crate::log::pace::RealTime;
+use crate::log::timer::RealTime;
 use crate::schema::records::Claim;
 use crate::schema::records::claim_record::Body;
 use crate::util::Clock;
@@ -33,7 +33,7 @@
 struct Look {
     key: String,
     key_ms: u64,
-    reply: oneshot::Sender<Result<Standing, LogDown>>,
+    reply: oneshot::Sender<Result<KeyStatus, LogDown>>,
 }
 
 /// How claims are grouped and kept.
@@ -97,8 +97,8 @@
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn look(&self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
-        let (reply, standing) = oneshot::channel();
+    pub async fn look(&self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
+        let (reply, status) = oneshot::channel();
         let look = Look {
             key: key.to_owned(),
             key_ms,
@@ -106,7 +106,7 @@
         };
         let sent = self.slot(key).try_send(Msg::Look(look));
         sent.map_err(|_| LogDown)?;
-        standing.await.unwrap_or(Err(LogDown))
+        status.await.unwrap_or(Err(LogDown))
     }
 
     /// Appends a release or an outcome at the next occasion, however long the log is down.
@@ -148,9 +148,9 @@
                 self.sort(Some(msg), &mut group, &mut looks);
             }
             for look in looks {
-                let standing = self.group.look(&look.key, look.key_ms).await;
+                let status = self.group.look(&look.key, look.key_ms).await;
                 // The caller may have gone.
-                let _ = look.reply.send(standing);
+                let _ = look.reply.send(status);
             }
             if !self.group.is_down() || self.remaining(PROBE).is_zero() {
                 self.turn(group).await;
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::log::invariant;
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, ClaimRecord, Outcome, Release};
 use crate::util::{self, Name};
@@ -42,7 +42,7 @@
 
 /// How a key stands after the records read so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Standing {
+pub enum KeyStatus {
     /// Nobody holds it.
     #[default]
     Free,
@@ -58,12 +58,12 @@
     /// It holds the key: its request may run, once.
     Won,
     /// It never will; this is how the key stands.
-    Lost(Standing),
+    Lost(KeyStatus),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Key {
-    standing: Standing,
+    status: KeyStatus,
     /// Claims that never hold the key (again).
     dead: HashMap<String, End>,
 }
@@ -95,21 +95,21 @@
     }
 
     /// How `key` stands.
-    pub fn standing(&self, key: &str) -> Standing {
+    pub fn status(&self, key: &str) -> KeyStatus {
         self.keys
             .get(key)
-            .map(|k| k.standing.clone())
+            .map(|k| k.status.clone())
             .unwrap_or_default()
     }
 
     /// What became of `claim`, once it was read.
     pub fn verdict(&self, claim: &Claim) -> Option<Verdict> {
         let key = self.keys.get(claim.key.as_str())?;
-        match &key.standing {
-            Standing::Held(holder) if holder.id == claim.id => Some(Verdict::Won),
-            standing if key.dead.contains_key(&claim.id) => Some(Verdict::Lost(standing.clone())),
-            Standing::Done(holder, _) if holder.id == claim.id => {
-                Some(Verdict::Lost(key.standing.clone()))
+        match &key.status {
+            KeyStatus::Held(holder) if holder.id == claim.id => Some(Verdict::Won),
+            status if key.dead.contains_key(&claim.id) => Some(Verdict::Lost(status.clone())),
+            KeyStatus::Done(holder, _) if holder.id == claim.id => {
+                Some(Verdict::Lost(key.status.clone()))
             }
             _ => None,
         }
@@ -138,12 +138,12 @@
 
     fn claim(&mut self, claim: Claim, now_ms: u64) {
         let key = self.key(&claim.key, now_ms);
-        if key.dead.contains_key(&claim.id) && !planted(Plant::ForgetDead) {
+        if key.dead.contains_key(&claim.id) && !mutated(Mutation::ForgetDead) {
             return;
         }
-        match &key.standing {
-            Standing::Free => key.standing = Standing::Held(claim),
-            Standing::Held(holder) | Standing::Done(holder, _) => {
+        match &key.status {
+            KeyStatus::Free => key.status = KeyStatus::Held(claim),
+            KeyStatus::Held(holder) | KeyStatus::Done(holder, _) => {
                 if holder.id != claim.id {
                     key.dead.insert(claim.id, End::Lost);
                 }
@@ -153,9 +153,9 @@
 
     fn release(&mut self, release: &Release, now_ms: u64) {
         let key = self.key(&release.key, now_ms);
-        match &key.standing {
-            Standing::Held(holder) if holder.id == release.id => key.standing = Standing::Free,
-            Standing::Done(holder, _) => {
+        match &key.status {
+            KeyStatus::Held(holder) if holder.id == release.id => key.status = KeyStatus::Free,
+            KeyStatus::Done(holder, _) => {
                 let ran = holder.id == release.id;
                 invariant(!ran, "a request that ran was released as not run");
                 if ran {
@@ -173,10 +173,10 @@
         // may have expired before a late copy of its claim.
         let released = key.dead.get(&outcome.id) == Some(&End::Released);
         invariant(!released, "a claim that was released has an outcome");
-        if let Standing::Held(holder) = &key.standing
+        if let KeyStatus::Held(holder) = &key.status
             && holder.id == outcome.id
         {
-            key.standing = Standing::Done(holder.clone(), outcome);
+            key.status = KeyStatus::Done(holder.clone(), outcome);
         }
     }
 
@@ -217,7 +217,7 @@
     if key_ms > now_ms + CLOCK_MARGIN_MS {
         return KeyAge::Future;
     }
-    let margin_ms = if planted(Plant::NoMargin) {
+    let margin_ms = if mutated(Mutation::NoMargin) {
         0
     } else {
         2 * CLOCK_MARGIN_MS
--- a/src/log/keeper.rs
+++ b/src/log/config_task.rs
@@ -9,11 +9,11 @@
 use crate::event::{Events, Kind};
 use crate::log::Log;
 use crate::log::config::{self, Applied};
-use crate::log::follow::{ApplyError, ApplyOutcome, Follower, Standing, StatePeers};
-use crate::log::pace::RealTime;
+use crate::log::follow::{ApplyError, ApplyOutcome, FollowStatus, Follower, StatePeers};
+use crate::log::timer::RealTime;
 use crate::log::view::ConfigView;
 use crate::schema::config::{Change, State};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::util::{self, Clock};
 
 /// Snapshots are renewed this many times within the log's retention, at least.
@@ -22,7 +22,7 @@
 type ApplyReply = oneshot::Sender<Result<ApplyOutcome, ApplyError>>;
 
 /// A question for other routers, and where the answer goes.
-pub type PeerQuestion = (ConfigAsk, oneshot::Sender<Option<ConfigGive>>);
+pub type PeerQuestion = (ConfigRequest, oneshot::Sender<Option<ConfigReply>>);
 
 /// How the configuration is followed.
 #[derive(Clone, Copy, Debug)]
@@ -35,13 +35,13 @@
 
 /// A handle to the running task.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct ConfigHandle {
     tx: mpsc::Sender<(Change, ApplyReply)>,
     view: watch::Receiver<Arc<ConfigView>>,
-    standing: watch::Receiver<Standing>,
+    status: watch::Receiver<FollowStatus>,
 }
 
-impl Keeper {
+impl ConfigHandle {
     /// Starts following the stream on the current runtime; `host` spreads the routers' renewals.
     /// Questions for other routers come out of the returned channel.
     pub fn spawn<L: Log + 'static>(
@@ -55,7 +55,7 @@
         let nothing = State::default();
         let digest = config::digest(&nothing);
         let (publish, view) = watch::channel(Arc::new(ConfigView::new(nothing, digest)));
-        let (publish_standing, standing) = watch::channel(Standing::Starting);
+        let (publish_status, status) = watch::channel(FollowStatus::Starting);
         let task = Task {
             follower: Follower::new(log, Questions(questions), RealTime::new(Clock::start())),
             poll: following.poll,
@@ -65,11 +65,11 @@
             events,
             published: (0, 0),
             publish,
-            publish_standing,
+            publish_status,
         };
         compio::runtime::spawn(task.run(rx)).detach();
-        let keeper = Self { tx, view, standing };
-        (keeper, asked)
+        let config_handle = Self { tx, view, status };
+        (config_handle, asked)
     }
 
     /// What is in force here.
@@ -78,8 +78,8 @@
     }
 
     /// How well it is known.
-    pub fn standing(&self) -> Standing {
-        self.standing.borrow().clone()
+    pub fn status(&self) -> FollowStatus {
+        self.status.borrow().clone()
     }
 
     /// Appends `change` and waits until it is read back.
@@ -114,7 +114,7 @@
 struct Questions(mpsc::Sender<PeerQuestion>);
 
 impl StatePeers for Questions {
-    async fn ask(&self, ask: ConfigAsk) -> Option<ConfigGive> {
+    async fn ask(&self, ask: ConfigRequest) -> Option<ConfigReply> {
         let (reply, answer) = oneshot::channel();
         self.0.send((ask, reply)).await.ok()?;
         answer.await.ok().flatten()
@@ -132,7 +132,7 @@
     /// Offset and version of the state that was published last.
     published: (u64, u64),
     publish: watch::Sender<Arc<ConfigView>>,
-    publish_standing: watch::Sender<Standing>,
+    publish_status: watch::Sender<FollowStatus>,
 }
 
 impl<L: Log> Task<L> {
@@ -164,9 +164,9 @@
             let view = ConfigView::new(state.clone(), self.follower.digest());
             self.publish.send_replace(Arc::new(view));
         }
-        let standing = self.follower.standing();
-        if *self.publish_standing.borrow() != *standing {
-            self.publish_standing.send_replace(standing.clone());
+        let status = self.follower.status();
+        if *self.publish_status.borrow() != *status {
+            self.publish_status.send_replace(status.clone());
         }
     }
 
@@ -176,7 +176,7 @@
             self.renewed = Instant::now();
         }
         let due = self.renewed.elapsed() >= self.renew_after;
-        if !due || *self.follower.standing() != Standing::Current {
+        if !due || *self.follower.status() != FollowStatus::Current {
             return;
         }
         match self.follower.renew().await {
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -1,6 +1,6 @@
 //! Follows the configuration stream: reads, appends changes, settles them, renews the snapshot.
 //!
-//! No timers of its own: pauses come in through [`Pace`], so that a test can hold any step.
+//! No timers of its own: pauses come in through [`Timer`], so that a test can hold any step.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use uuid::Uuid;
 
 use crate::log::config::{self, Applied, ConfigFold, SCHEMA, STREAM};
-use crate::log::pace::Pace;
+use crate::log::timer::Timer;
 use crate::log::{Batch, Entry, Log, LogError, invariant};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::config::record::Body;
 use crate::schema::config::{Change, Record, State};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 
 const READ_MAX: usize = 256;
 const SETTLE_READS: u32 = 20;
@@ -22,7 +22,7 @@
 /// Asks other routers for their state.
 pub trait StatePeers {
     /// One peer's answer, if one answers.
-    fn ask(&self, ask: ConfigAsk) -> impl Future<Output = Option<ConfigGive>>;
+    fn ask(&self, ask: ConfigRequest) -> impl Future<Output = Option<ConfigReply>>;
 }
 
 /// What an operator is told.
@@ -53,7 +53,7 @@
 
 /// How well a router knows the configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub enum Standing {
+pub enum FollowStatus {
     /// Nothing was read yet.
     #[default]
     Starting,
@@ -75,22 +75,22 @@
 pub struct Follower<L, S, P> {
     log: L,
     peers: S,
-    pace: P,
+    timer: P,
     fold: ConfigFold,
-    standing: Standing,
+    status: FollowStatus,
     /// Offset of the newest snapshot read.
     snapshot: Option<u64>,
 }
 
-impl<L: Log, S: StatePeers, P: Pace> Follower<L, S, P> {
+impl<L: Log, S: StatePeers, P: Timer> Follower<L, S, P> {
     /// Starts with nothing read.
-    pub fn new(log: L, peers: S, pace: P) -> Self {
+    pub fn new(log: L, peers: S, timer: P) -> Self {
         Self {
             log,
             peers,
-            pace,
+            timer,
             fold: ConfigFold::default(),
-            standing: Standing::Starting,
+            status: FollowStatus::Starting,
             snapshot: None,
         }
     }
@@ -106,8 +106,8 @@
     }
 
     /// How well the state is known.
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn status(&self) -> &FollowStatus {
+        &self.status
     }
 
     /// Offset of the newest snapshot read.
@@ -119,11 +119,11 @@
     pub async fn poll(&mut self, note: &mut impl FnMut(&Applied, &State)) {
         let read = self.follow(None, note).await;
         if let Err(e) = read {
-            self.standing = Standing::LogDown;
+            self.status = FollowStatus::LogDown;
             log::warn!("configuration can't be read: {e}");
         }
         // A peer of a newer build has nothing for one that stands before a newer record.
-        if matches!(self.standing, Standing::LogDown | Standing::Gap) {
+        if matches!(self.status, FollowStatus::LogDown | FollowStatus::Gap) {
             self.ask_peer().await;
         }
     }
@@ -141,7 +141,7 @@
             detail: detail.to_string(),
         };
         self.follow(None, note).await.map_err(|e| refuse(&e))?;
-        if self.standing != Standing::Current {
+        if self.status != FollowStatus::Current {
             return Err(refuse(&"this router doesn't have the newest configuration"));
         }
         if let Some(refused) = self.refused(&change) {
@@ -154,7 +154,7 @@
         let id = Uuid::now_v7().to_string();
         match self.append(&id, Body::Change(change)).await {
             Ok(_) => self.settle(&id, note).await,
-            Err(e @ LogError::Unsettled { .. }) if planted(Plant::LostIsNotApplied) => {
+            Err(e @ LogError::Unsettled { .. }) if mutated(Mutation::LostIsNotApplied) => {
                 Err(refuse(&e))
             }
             Err(LogError::Unsettled { .. }) => self.settle(&id, note).await,
@@ -207,7 +207,7 @@
                 Ok(None) => {}
                 Err(e) => detail = e.to_string(),
             }
-            self.pace.pause(SETTLE_PAUSE).await;
+            self.timer.pause(SETTLE_PAUSE).await;
         }
         Err(ApplyError::Unknown { detail })
     }
@@ -223,7 +223,7 @@
             let from = self.fold.next_offset();
             let batch = self.log.read(STREAM, from, READ_MAX).await?;
             if batch.first > from && !self.rebase(&batch).await? {
-                self.standing = Standing::Gap;
+                self.status = FollowStatus::Gap;
                 return Ok(found);
             }
             if batch.first > from {
@@ -232,7 +232,7 @@
             for entry in &batch.entries {
                 let applied = self.take(entry, note);
                 if let Applied::Newer { schema } = applied {
-                    self.standing = Standing::Newer { schema };
+                    self.status = FollowStatus::Newer { schema };
                     return Ok(found);
                 }
                 let own = id.is_some_and(|id| is_record(&entry.text, id));
@@ -242,7 +242,7 @@
                 }
             }
             if self.fold.next_offset() == from || self.fold.next_offset() >= batch.next {
-                self.standing = Standing::Current;
+                self.status = FollowStatus::Current;
                 return Ok(found);
             }
         }
@@ -264,7 +264,7 @@
     /// stream by kept records. Applying those records to one's own state instead would leave out
     /// what the expired ones changed, and no later record would show it.
     async fn rebase(&mut self, batch: &Batch) -> Result<bool, LogError> {
-        if planted(Plant::ApplyOverGap) {
+        if mutated(Mutation::ApplyOverGap) {
             let state = State {
                 offset: batch.first,
                 ..self.fold.state().clone()
@@ -283,7 +283,7 @@
                 let joined = |s: &State| s.offset >= batch.first && s.offset <= entry.offset;
                 let newer = |s: &State| best.as_ref().is_none_or(|b| s.offset > b.offset);
                 let mut snapshot = snapshot(&entry.text);
-                if planted(Plant::LateSnapshot) {
+                if mutated(Mutation::LateSnapshot) {
                     snapshot.iter_mut().for_each(|s| s.offset = entry.offset);
                 }
                 if let Some(state) = snapshot.filter(joined).filter(newer) {
@@ -300,7 +300,7 @@
 
     /// Takes a peer's state if it is newer and whole.
     async fn ask_peer(&mut self) {
-        let ask = ConfigAsk {
+        let ask = ConfigRequest {
             have_offset: self.fold.next_offset(),
             have_digest: self.fold.digest(),
         };
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -1,17 +1,17 @@
 //! One group of claims at a time: read, append what is open, read back, answer.
 //!
-//! Time comes in through [`Pace`], so that a test can hold any step as long as it likes.
+//! Time comes in through [`Timer`], so that a test can hold any step as long as it likes.
 
 use std::time::Duration;
 
 use snafu::Snafu;
 use tokio::sync::oneshot;
 
-use crate::log::claims::{Standing, Verdict};
-use crate::log::pace::Pace;
+use crate::log::claims::{KeyStatus, Verdict};
 use crate::log::slot::Slot;
+use crate::log::timer::Timer;
 use crate::log::{Log, LogError};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, Release};
 
@@ -48,19 +48,19 @@
 #[derive(Debug)]
 pub struct Group<L, P> {
     slot: Slot<L>,
-    pace: P,
+    timer: P,
     retention_ms: u64,
     /// Notes not yet appended.
     owed: Vec<Body>,
     down: bool,
 }
 
-impl<L: Log, P: Pace> Group<L, P> {
+impl<L: Log, P: Timer> Group<L, P> {
     /// Starts with nothing read.
-    pub fn new(log: L, stream: String, pace: P, retention_ms: u64) -> Self {
+    pub fn new(log: L, stream: String, timer: P, retention_ms: u64) -> Self {
         Self {
             slot: Slot::new(log, stream),
-            pace,
+            timer,
             retention_ms,
             owed: Vec::new(),
             down: false,
@@ -78,8 +78,8 @@
     }
 
     /// How `key` stands after what was read.
-    pub fn standing(&self, key: &str) -> Standing {
-        self.slot.standing(key)
+    pub fn status(&self, key: &str) -> KeyStatus {
+        self.slot.status(key)
     }
 
     /// Takes a release or an outcome, to be appended with the next group.
@@ -95,10 +95,10 @@
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn look(&mut self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
-        let pace = &self.pace;
-        match self.slot.cover(key_ms, || pace.now()).await {
-            Ok(()) => Ok(self.slot.standing(key)),
+    pub async fn look(&mut self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
+        let timer = &self.timer;
+        match self.slot.cover(key_ms, || timer.now()).await {
+            Ok(()) => Ok(self.slot.status(key)),
             Err(e) => {
                 self.fail(&e, Vec::new());
                 Err(LogDown)
@@ -108,12 +108,12 @@
 
     /// Settles one group. Tells whether anything was appended.
     pub async fn turn(&mut self, group: Vec<Waiting>) -> bool {
-        let mono_ms = self.pace.now().mono_ms;
+        let mono_ms = self.timer.now().mono_ms;
         self.slot.forget(mono_ms.saturating_sub(self.retention_ms));
         if !self.may_append_at_once(&group) {
             let oldest_ms = group.iter().map(|w| w.key_ms).min().unwrap_or(u64::MAX);
-            let pace = &self.pace;
-            if let Err(e) = self.slot.cover(oldest_ms, || pace.now()).await {
+            let timer = &self.timer;
+            if let Err(e) = self.slot.cover(oldest_ms, || timer.now()).await {
                 self.fail(&e, group);
                 return false;
             }
@@ -145,7 +145,7 @@
     /// all the same, and a call is saved. A key that another claim holds is read for anew, for it
     /// may have been released or run since.
     fn may_append_at_once(&self, group: &[Waiting]) -> bool {
-        let free = |w: &Waiting| self.slot.standing(&w.claim.key) == Standing::Free;
+        let free = |w: &Waiting| self.slot.status(&w.claim.key) == KeyStatus::Free;
         let covered = |w: &Waiting| self.slot.covers(w.key_ms);
         !self.down && group.iter().all(|w| covered(w) && free(w))
     }
@@ -155,11 +155,11 @@
         let mut open = Vec::with_capacity(group.len());
         for waiting in group {
             let verdict = self.slot.verdict(&waiting.claim, waiting.key_ms);
-            let standing = self.slot.standing(&waiting.claim.key);
-            match (verdict, standing) {
+            let status = self.slot.status(&waiting.claim.key);
+            match (verdict, status) {
                 (Some(verdict), _) => waiting.answer(Ok(verdict)),
-                (None, Standing::Free) => open.push(waiting),
-                (None, standing) => waiting.answer(Ok(Verdict::Lost(standing))),
+                (None, KeyStatus::Free) => open.push(waiting),
+                (None, status) => waiting.answer(Ok(Verdict::Lost(status))),
             }
         }
         open
@@ -167,7 +167,7 @@
 
     /// Reads until every claim is found; gives up those that aren't.
     async fn settle(&mut self, mut open: Vec<Waiting>, end: Option<u64>) {
-        if planted(Plant::TrustAppend) && end.is_some() {
+        if mutated(Mutation::TrustAppend) && end.is_some() {
             open.into_iter().for_each(|w| w.answer(Ok(Verdict::Won)));
             return;
         }
@@ -176,10 +176,10 @@
         }
         for round in 0..SETTLE_READS {
             if round > 0 {
-                self.pace.pause(SETTLE_PAUSE).await;
+                self.timer.pause(SETTLE_PAUSE).await;
             }
-            let pace = &self.pace;
-            let read = self.slot.catch_up(&|| pace.now()).await;
+            let timer = &self.timer;
+            let read = self.slot.catch_up(&|| timer.now()).await;
             self.down = read.is_err();
             if read.is_err() {
                 continue;
@@ -209,7 +209,7 @@
     /// The claim may still land. Its release makes it harmless, whichever of the two lands first;
     /// its claimant is told that it doesn't hold the key, and so sends nothing.
     fn give_up(&mut self, waiting: Waiting) {
-        if !planted(Plant::GiveUpSilently) {
+        if !mutated(Mutation::GiveUpSilently) {
             self.owe(Body::Release(Release {
                 id: waiting.claim.id.clone(),
                 key: waiting.claim.key.clone(),
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -6,10 +6,10 @@
 
 use uuid::Uuid;
 
-use crate::log::claims::{CLOCK_MARGIN_MS, Claims, SCHEMA, Standing, Verdict};
-use crate::log::pace::Now;
+use crate::log::claims::{CLOCK_MARGIN_MS, Claims, KeyStatus, SCHEMA, Verdict};
+use crate::log::timer::Now;
 use crate::log::{Batch, Log, LogError};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, ClaimRecord};
 
@@ -49,8 +49,8 @@
     }
 
     /// How `key` stands after what was read.
-    pub fn standing(&self, key: &str) -> Standing {
-        self.claims.standing(key)
+    pub fn status(&self, key: &str) -> KeyStatus {
+        self.claims.status(key)
     }
 
     /// What became of `claim` of a key of time `key_ms`, once it and all that may come before it
@@ -138,7 +138,7 @@
     /// Whether all claims that may come before a fresh one of a key of time `key_ms` were read, but
     /// for the newest.
     pub fn covers(&self, key_ms: u64) -> bool {
-        planted(Plant::NeverReadBack)
+        mutated(Mutation::NeverReadBack)
             || self.covered_from_ms == 0
             || self.covered_from_ms < needed_from(key_ms)
     }
--- a/src/log/pace.rs
+++ b/src/log/timer.rs
@@ -14,7 +14,7 @@
 }
 
 /// A host's clocks, and how to wait.
-pub trait Pace {
+pub trait Timer {
     /// What the clocks show.
     fn now(&self) -> Now;
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl Pace for RealTime {
+impl Timer for RealTime {
     fn now(&self) -> Now {
         Now {
             wall_ms: wall_ms(),
--- a/src/path/answer.rs
+++ b/src/path/answer.rs
@@ -44,7 +44,7 @@
             tally.first_byte();
             tally.ended(true);
             let context = &attempts.context;
-            context.path.beliefs.clear_suspicion(context.fingerprint);
+            context.path.state.clear_suspicion(context.fingerprint);
             respond(reply.parts, Answer::whole(reply.body))
         }
         UpstreamAnswer::Stream(reply) => stream(attempts, reply, tally),
@@ -155,7 +155,7 @@
                     reply.finish();
                     self.tally.ended(true);
                     let context = &self.attempts.context;
-                    context.path.beliefs.clear_suspicion(context.fingerprint);
+                    context.path.state.clear_suspicion(context.fingerprint);
                     self.attempts
                         .emit(Kind::RequestAnswered, &upstream.id, "stream complete");
                     return Ok(());
@@ -178,14 +178,14 @@
                     let path = &self.attempts.context.path;
                     let (fingerprint, now_ms) =
                         (self.attempts.context.fingerprint, path.clock.now_ms());
-                    path.beliefs.record_failure(&upstream, &reason, now_ms);
-                    path.beliefs
+                    path.state.record_failure(&upstream, &reason, now_ms);
+                    path.state
                         .record_lost_answer(&upstream.id, fingerprint, now_ms);
                     self.attempts
                         .emit(Kind::RequestRetried, &upstream.id, &reason);
                 }
             }
-            let may_resume = self.attempts.context.path.beliefs.decisions().resume;
+            let may_resume = self.attempts.context.path.state.decisions().resume;
             if !may_resume || !self.attempts.may_retry() {
                 self.abort(
                     &upstream.id,
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -7,16 +7,16 @@
 use bytes::Bytes;
 use http::request::Parts;
 
-use crate::decide::connections::Share;
-use crate::decide::refusal::{Cause, RunState, spread_ms};
-use crate::decide::spread::{self, Bound, Counts, Placed};
+use crate::decide::connections::ConnectionQuota;
+use crate::decide::refusal::{Cause, RunState, jittered_ms};
+use crate::decide::spread::{self, Bound, Counts, Selection};
 use crate::event::{Kind, chat_name};
 use crate::path::Path;
-use crate::path::beliefs::Tried;
 use crate::path::call::{BufferedReply, Call, CallError, FailureKind, Reply, UpstreamClient};
 use crate::path::dialect::{CallHead, CallerHead, Dialect, Records};
 use crate::path::gate::Permit;
 use crate::path::refusal::Refused;
+use crate::path::router_state::Tried;
 use crate::path::routes::{Account, Route};
 use crate::path::upstreams::Upstream;
 use crate::schema::settings::Decisions;
@@ -128,7 +128,7 @@
                     let now_ms = self.context.path.clock.now_ms();
                     self.context
                         .path
-                        .beliefs
+                        .state
                         .record_failure(&upstream, &reason, now_ms);
                     if !self.may_retry() {
                         return Err(self.refuse(Cause::UpstreamFailed, reason));
@@ -156,7 +156,7 @@
                 );
                 return Err(self.refuse(self.no_upstream_cause(), detail));
             };
-            if self.deliveries > 0 && !self.context.path.beliefs.take_retry(&self.context.service) {
+            if self.deliveries > 0 && !self.context.path.state.take_retry(&self.context.service) {
                 let detail = "retry budget of the fleet is exhausted".to_owned();
                 // All upstreams rejected the request.
                 let cause = if self.runs == 0 {
@@ -170,7 +170,7 @@
                 let routers = self.context.path.routers();
                 self.context
                     .path
-                    .beliefs
+                    .state
                     .count_first_try(&self.context.service, routers);
             }
             let upstream = choice.upstream.clone();
@@ -184,13 +184,13 @@
                 Err(failed) => failed,
             };
             let now_ms = self.context.path.clock.now_ms();
-            let beliefs = &self.context.path.beliefs;
+            let state = &self.context.path.state;
             match failed.kind {
-                FailureKind::NotSent => beliefs.record_unreachable(&upstream.id, now_ms),
+                FailureKind::NotSent => state.record_unreachable(&upstream.id, now_ms),
                 FailureKind::Lost => {
-                    beliefs.record_lost_answer(&upstream.id, self.context.fingerprint, now_ms)
+                    state.record_lost_answer(&upstream.id, self.context.fingerprint, now_ms)
                 }
-                FailureKind::Replaced => beliefs.record_replaced(&upstream.id, now_ms),
+                FailureKind::Replaced => state.record_replaced(&upstream.id, now_ms),
                 FailureKind::Rejected => {}
             }
             let kind: &'static str = failed.kind.into();
@@ -224,8 +224,8 @@
 
     /// Returns the cause of a refusal if no upstream can be chosen.
     fn no_upstream_cause(&self) -> Cause {
-        let (beliefs, share) = (&self.context.path.beliefs, self.connection_share());
-        if beliefs.has_full_upstream(&self.context.service, share.open) {
+        let (state, share) = (&self.context.path.state, self.connection_share());
+        if state.has_full_upstream(&self.context.service, share.open) {
             Cause::Full
         } else {
             Cause::NoUpstream
@@ -237,7 +237,7 @@
         let remaining = self.remaining();
         let account = context.account.as_ref();
         let route = &context.route;
-        let deployment = context.path.beliefs.deployment();
+        let deployment = context.path.state.deployment();
         let account_priority = account.and_then(|a| a.priority);
         let rank = deployment.rank(&context.service, account_priority, route.priority);
         let head = CallHead {
@@ -257,7 +257,7 @@
             timeout: self.attempt_timeout().unwrap_or(remaining).min(remaining),
         };
         let client = UpstreamClient {
-            beliefs: &context.path.beliefs,
+            state: &context.path.state,
             links: &context.path.links,
             share: self.connection_share(),
             clock: context.path.clock,
@@ -269,7 +269,7 @@
     fn attempt_timeout(&self) -> Option<Duration> {
         let route = &self.context.route;
         let is_last = self.runs + 1 >= route.max_attempts;
-        let may_retry_elsewhere = self.context.path.beliefs.decisions().ask_elsewhere;
+        let may_retry_elsewhere = self.context.path.state.decisions().ask_elsewhere;
         if route.repeat.at_most_once() || is_last || !may_retry_elsewhere {
             return None;
         }
@@ -278,9 +278,9 @@
     }
 
     /// Connections that this router may open to each upstream of the service.
-    fn connection_share(&self) -> Share {
+    fn connection_share(&self) -> ConnectionQuota {
         let path = &self.context.path;
-        path.beliefs
+        path.state
             .connections(&self.context.service, path.routers())
     }
 
@@ -292,20 +292,24 @@
             may_repeat: self.runs > 0,
         };
         let max_open = self.connection_share().open;
-        let beliefs = &context.path.beliefs;
-        let account_homes = context.account.as_ref().map_or(&None, |a| &a.homes);
-        let homes = [&context.route.homes, account_homes];
-        let (pool, seats) = beliefs.pool(&context.service, &tried, &homes, max_open, now_ms);
-        let decisions = beliefs.decisions();
+        let state = &context.path.state;
+        let account_homes = context
+            .account
+            .as_ref()
+            .map_or(&None, |a| &a.allowed_regions);
+        let allowed_regions = [&context.route.allowed_regions, account_homes];
+        let (pool, candidates) =
+            state.pool(&context.service, &tried, &allowed_regions, max_open, now_ms);
+        let decisions = state.decisions();
         let placed = match shared_part(&context.head.prompt_parts) {
             Some(part) if context.route.cached_prompts && decisions.part_order => {
-                spread::by_part(part, &seats, bound(decisions))?
+                spread::by_part(part, &candidates, bound(decisions))?
             }
             _ => {
                 let usual_ms = context.path.queues.usual_ms(&context.service);
-                let counts = Counts::of_age(beliefs.load_report_age_ms(), usual_ms);
-                Placed {
-                    at: spread::by_load(&seats, counts, &mut rand::rng())?,
+                let counts = Counts::of_age(state.load_report_age_ms(), usual_ms);
+                Selection {
+                    at: spread::by_load(&candidates, counts, &mut rand::rng())?,
                     source: None,
                 }
             }
@@ -338,7 +342,7 @@
         } else {
             (
                 RunState::NotRun,
-                spread_ms(RETRY_AFTER_MS, &mut rand::rng()),
+                jittered_ms(RETRY_AFTER_MS, &mut rand::rng()),
             )
         };
         Refused {
@@ -370,7 +374,7 @@
     /// Describes the state that a decision was based on, and its age.
     fn describe_state(&self) -> String {
         let context = &self.context;
-        let mark = context.path.news.mark();
+        let mark = context.path.replica.position();
         format!(
             "route {}, service {}, configuration {} read {} ms ago, upstreams at {} read {} ms ago, \
              {} ms left",
--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -12,10 +12,10 @@
 use hyper::body::Incoming;
 use strum::IntoStaticStr;
 
-use crate::decide::connections::Share;
-use crate::path::beliefs::{Beliefs, RunningGuard};
+use crate::decide::connections::ConnectionQuota;
 use crate::path::dialect::{AnswerHead, Dialect};
 use crate::path::link::{self, Link, Links};
+use crate::path::router_state::{RouterState, RunningGuard};
 use crate::path::upstreams::Upstream;
 use crate::util::{Clock, Name};
 
@@ -58,7 +58,7 @@
     body: Incoming,
     link: Link,
     links: Links,
-    share: Share,
+    share: ConnectionQuota,
     running: RunningGuard,
 }
 
@@ -71,9 +71,9 @@
 
 /// Context shared by the calls of a request.
 pub(crate) struct UpstreamClient<'a> {
-    pub(crate) beliefs: &'a Rc<Beliefs>,
+    pub(crate) state: &'a Rc<RouterState>,
     pub(crate) links: &'a Links,
-    pub(crate) share: Share,
+    pub(crate) share: ConnectionQuota,
     pub(crate) clock: Clock,
 }
 
@@ -96,7 +96,7 @@
         upstream: Rc<Upstream>,
         call: Call<'_>,
     ) -> Result<Reply, CallError> {
-        let running = self.beliefs.start_request(&upstream, self.clock.now_ms());
+        let running = self.state.start_request(&upstream, self.clock.now_ms());
         let started = Instant::now();
         let sent = self.send(&upstream, &call).await;
         let now_ms = self.clock.now_ms();
@@ -104,11 +104,10 @@
             Ok(answer) => answer,
             Err(failed) => {
                 if failed.timed_out {
-                    self.beliefs
+                    self.state
                         .record_overload(&upstream, &failed.reason, now_ms);
                 } else {
-                    self.beliefs
-                        .record_failure(&upstream, &failed.reason, now_ms);
+                    self.state.record_failure(&upstream, &failed.reason, now_ms);
                 }
                 return Err(failed);
             }
@@ -118,23 +117,22 @@
         match checked {
             Ok(()) if !parts.status.is_server_error() => {
                 let took_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-                self.beliefs.record_answer(&upstream, took_ms, now_ms);
+                self.state.record_answer(&upstream, took_ms, now_ms);
             }
             Ok(()) if parts.status == StatusCode::GATEWAY_TIMEOUT => {
-                self.beliefs
+                self.state
                     .record_overload(&upstream, parts.status.as_str(), now_ms);
             }
-            Ok(()) => self.beliefs.record_error_answer(&upstream, now_ms),
+            Ok(()) => self.state.record_error_answer(&upstream, now_ms),
             Err(failed) => {
                 if matches!(failed.kind, FailureKind::Rejected | FailureKind::Replaced) {
                     self.drain_rejection(&upstream, body, link, &parts).await;
                 }
                 if failed.kind == FailureKind::Rejected {
-                    self.beliefs
+                    self.state
                         .record_overload(&upstream, &failed.reason, now_ms);
                 } else {
-                    self.beliefs
-                        .record_failure(&upstream, &failed.reason, now_ms);
+                    self.state.record_failure(&upstream, &failed.reason, now_ms);
                 }
                 return Err(failed);
             }
@@ -188,7 +186,7 @@
         upstream: &Upstream,
         call: &Call<'_>,
     ) -> Result<(Parts, Incoming, Link), CallError> {
-        let in_use = self.beliefs.running(&upstream.id);
+        let in_use = self.state.running(&upstream.id);
         self.links
             .close_excess(&upstream.id, self.share.open.saturating_sub(in_use));
         let opened = link::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
--- a/src/path/changes.rs
+++ b/src/path/changes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::schema::peer::UpstreamNews;
+use crate::schema::peer::UpstreamChange;
 
 /// Number of changes kept, about one megabyte. A router that missed more is sent all upstreams. The
 /// start of thousands of upstreams within seconds stays below this number: with fewer, each router
@@ -12,7 +12,7 @@
 /// Changes in the order of the log.
 #[derive(Debug, Default)]
 pub(super) struct Changes {
-    kept: VecDeque<UpstreamNews>,
+    kept: VecDeque<UpstreamChange>,
     /// Changes up to this offset are not kept.
     base: u64,
 }
@@ -24,7 +24,7 @@
         self.kept.clear();
     }
 
-    pub(super) fn push(&mut self, change: UpstreamNews) {
+    pub(super) fn push(&mut self, change: UpstreamChange) {
         self.kept.push_back(change);
         if self.kept.len() > MAX_CHANGES
             && let Some(evicted) = self.kept.pop_front()
@@ -34,7 +34,7 @@
     }
 
     /// Returns the changes after offset `at`, or `None` if some of them are no longer kept.
-    pub(super) fn since(&self, at: u64) -> Option<Vec<UpstreamNews>> {
+    pub(super) fn since(&self, at: u64) -> Option<Vec<UpstreamChange>> {
         if at == 0 || at < self.base {
             return None;
         }
--- a/src/path/reading.rs
+++ b/src/path/cursor.rs
@@ -26,7 +26,7 @@
 
 /// Request of a reader to a keyed stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ask {
+pub(crate) enum ReadRange {
     /// The newest record of each key.
     All,
     /// All records from this offset on.
@@ -35,24 +35,24 @@
 
 /// Position of one reader in one stream.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct StreamCursor {
     next: Option<u64>,
     /// Whether the next records were deleted from the log.
     is_expired: bool,
 }
 
-impl Reading {
+impl StreamCursor {
     /// Returns the next request. Peers have sent everything up to offset `known_end`, which need not be
     /// read again.
     ///
     /// Failure guarded against: records expire before they are read. A reader that keeps requesting
     /// them gets the same rejection forever, at the speed of the network.
-    pub(crate) fn ask(&self, known_end: u64) -> Ask {
+    pub(crate) fn ask(&self, known_end: u64) -> ReadRange {
         let known = self.next.map(|next| next.max(known_end));
         let known = known.or((known_end > 0).then_some(known_end));
         match known {
-            Some(from) if !self.is_expired => Ask::From(from),
-            _ => Ask::All,
+            Some(from) if !self.is_expired => ReadRange::From(from),
+            _ => ReadRange::All,
         }
     }
 
--- a/src/path/evacuations.rs
+++ b/src/path/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::util::Name;
 
 /// Evacuated data centres, as of one offset of the stream that operators write.
@@ -39,7 +39,7 @@
     /// Applies the record that ends at offset `at`, and returns whether it changed anything. A
     /// record older than the applied ones is ignored: it would undo a later one.
     pub fn set(&mut self, at: u64, data_center: &str, evacuated: bool) -> bool {
-        if at <= self.at && !planted(Plant::TakeOldOrders) {
+        if at <= self.at && !mutated(Mutation::TakeOldOrders) {
             return false;
         }
         self.at = at.max(self.at);
--- a/src/path/gate.rs
+++ b/src/path/gate.rs
@@ -8,13 +8,13 @@
 
 use tokio::sync::oneshot;
 
-use crate::decide::admission::{Admission, Ask, Offer, Ready, Room};
+use crate::decide::admission::{Admission, AdmissionRequest, Offer, Quota, Ready};
 use crate::decide::allowance;
 use crate::decide::refusal::Refusal;
 use crate::decide::{Job, JobId};
 use crate::fleet::loads::digest;
-use crate::path::beliefs::Beliefs;
-use crate::schema::peer::Wish;
+use crate::path::router_state::RouterState;
+use crate::schema::peer::ServiceDemand;
 use crate::stats;
 use crate::util::{Clock, Name};
 
@@ -33,7 +33,7 @@
     admission: Admission,
     waiting: HashMap<JobId, oneshot::Sender<Verdict>>,
     /// As of the last refresh; `None` if the upstreams do not report their slots.
-    places: Option<f64>,
+    slots_open: Option<f64>,
     others: Vec<u32>,
 }
 
@@ -74,13 +74,13 @@
         objective_ms: u64,
     ) -> Result<Permit, Refusal> {
         let id = job.id;
-        let ask = Ask { job, objective_ms };
+        let ask = AdmissionRequest { job, objective_ms };
         let now_ms = self.clock.now_ms();
         let verdict = {
             let mut queues = self.queues.borrow_mut();
             let queue = queues.entry(service.clone()).or_default();
-            let room = queue.room();
-            match queue.admission.offer(ask, room, now_ms, &mut rand::rng()) {
+            let quota = queue.quota();
+            match queue.admission.offer(ask, quota, now_ms, &mut rand::rng()) {
                 Offer::Start => None,
                 Offer::Refused(refusal) => return Err(refusal),
                 Offer::Wait => {
@@ -112,18 +112,18 @@
 
     /// Updates the capacity and the demand of other routers, and admits waiting requests. Returns
     /// the demand to publish to the other routers.
-    pub(crate) fn refresh(&self, beliefs: &Beliefs) -> Vec<Wish> {
+    pub(crate) fn refresh(&self, state: &RouterState) -> Vec<ServiceDemand> {
         let now_ms = self.clock.now_ms();
         let mut wishes = Vec::new();
         for (service, queue) in self.queues.borrow_mut().iter_mut() {
-            let places = beliefs.places(service, now_ms);
-            queue.places = places.map(|p| f64::from(p) * queue.admission.fill());
-            queue.others = beliefs.wishes_of_others(service);
+            let slots_open = state.slots_open(service, now_ms);
+            queue.slots_open = slots_open.map(|p| f64::from(p) * queue.admission.fill());
+            queue.others = state.demands_of_others(service);
             queue.poll(now_ms);
-            let wanted = queue.admission.wanted();
+            let wanted = queue.admission.demand();
             if wanted > 0 {
                 let service_digest = digest(service);
-                wishes.push(Wish {
+                wishes.push(ServiceDemand {
                     service_digest,
                     wanted,
                 });
@@ -145,11 +145,11 @@
             let demand_of_others: u32 = queue.others.iter().sum();
             format!(
                 "demand here {} ({} waiting), {} allowed, demand of {} other routers {demand_of_others}, capacity {:.0}",
-                queue.admission.wanted(),
+                queue.admission.demand(),
                 queue.admission.waiting(),
-                queue.room().allowed,
+                queue.quota().allowed,
                 queue.others.len(),
-                queue.places.unwrap_or(0.0),
+                queue.slots_open.unwrap_or(0.0),
             )
         })
     }
@@ -165,10 +165,10 @@
 }
 
 impl ServiceQueue {
-    fn room(&self) -> Room {
-        match self.places {
-            Some(places) => allowance::room(places, self.admission.wanted(), &self.others),
-            None => Room {
+    fn quota(&self) -> Quota {
+        match self.slots_open {
+            Some(slots_open) => allowance::quota(slots_open, self.admission.demand(), &self.others),
+            None => Quota {
                 allowed: u32::MAX,
                 has_spare: true,
             },
@@ -179,8 +179,8 @@
         if self.waiting.is_empty() {
             return;
         }
-        let room = self.room();
-        while let Some(ready) = self.admission.poll(room, now_ms, &mut rand::rng()) {
+        let quota = self.quota();
+        while let Some(ready) = self.admission.poll(quota, now_ms, &mut rand::rng()) {
             let (id, verdict) = match ready {
                 Ready::Start(id) => (id, Ok(())),
                 Ready::Refused(id, refusal) => (id, Err(refusal)),
--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::ejection::{Change, DEFAULT_SHARE, Ejector};
 use crate::decide::grey::{Outcomes, grey};
-use crate::fleet::flights::Told;
+use crate::fleet::in_flight::UpstreamTotals;
 use crate::fleet::loads::digest;
 use crate::path::upstreams::Upstream;
 use crate::util::Name;
@@ -154,7 +154,7 @@
     pub(crate) fn eject_failing(
         &mut self,
         pool: &[Rc<Upstream>],
-        reported: &HashMap<u32, Told>,
+        reported: &HashMap<u32, UpstreamTotals>,
         now_ms: u64,
     ) -> Vec<(Name, f64)> {
         let Some(first) = pool.first() else {
--- a/src/path/health_tests.rs
+++ b/src/path/health_tests.rs
@@ -3,9 +3,9 @@
 
 use super::health::Health;
 use super::upstreams::Upstream;
-use crate::decide::ejection::{Change, FAILURES, HOLD_MS};
+use crate::decide::ejection::{Change, EJECTION_MS, FAILURES};
 use crate::decide::grey::Outcomes;
-use crate::fleet::flights::Told;
+use crate::fleet::in_flight::UpstreamTotals;
 use crate::fleet::loads::digest;
 use crate::util::Name;
 
@@ -37,20 +37,20 @@
         assert_eq!(health.record_failure(&pool[0], &names, 0), Change::None);
     }
     assert_eq!(health.record_failure(&pool[0], &names, 0), Change::Ejected);
-    assert!(health.is_ejected(&pool[0], HOLD_MS - 1));
-    assert!(!health.is_ejected(&pool[0], HOLD_MS));
-    health.start_call(&pool[0], HOLD_MS);
+    assert!(health.is_ejected(&pool[0], EJECTION_MS - 1));
+    assert!(!health.is_ejected(&pool[0], EJECTION_MS));
+    health.start_call(&pool[0], EJECTION_MS);
     assert!(
-        health.is_ejected(&pool[0], HOLD_MS + 1),
+        health.is_ejected(&pool[0], EJECTION_MS + 1),
         "the probe is in flight"
     );
-    let answered = health.record_answer(&pool[0], 20, &names, HOLD_MS + 20);
+    let answered = health.record_answer(&pool[0], 20, &names, EJECTION_MS + 20);
     assert_eq!(answered, Change::Restored);
     assert_eq!(
-        health.record_failure(&pool[0], &names, HOLD_MS + 30),
+        health.record_failure(&pool[0], &names, EJECTION_MS + 30),
         Change::None
     );
-    assert!(!health.is_ejected(&pool[0], HOLD_MS + 31));
+    assert!(!health.is_ejected(&pool[0], EJECTION_MS + 31));
 }
 
 /// This router observed one failure of an upstream and the other routers some more. Together they
@@ -67,7 +67,7 @@
     assert!(health.eject_failing(&pool, &HashMap::new(), 0).is_empty());
     let mut outcomes = Outcomes::default();
     outcomes.add(6, 3, 0);
-    let reported = Told {
+    let reported = UpstreamTotals {
         running: 0.0,
         outcomes,
     };
@@ -115,8 +115,8 @@
         1,
         "the other upstreams have no failures"
     );
-    health.start_call(&pool[0], HOLD_MS);
-    health.record_error_answer(&pool[0], &names, HOLD_MS + 1);
-    assert!(health.is_ejected(&pool[0], HOLD_MS + 2));
-    assert!(health.is_ejected(&pool[0], 2 * HOLD_MS));
+    health.start_call(&pool[0], EJECTION_MS);
+    health.record_error_answer(&pool[0], &names, EJECTION_MS + 1);
+    assert!(health.is_ejected(&pool[0], EJECTION_MS + 2));
+    assert!(health.is_ejected(&pool[0], 2 * EJECTION_MS));
 }
--- a/src/path/link.rs
+++ b/src/path/link.rs
@@ -15,7 +15,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use snafu::{ResultExt, Snafu};
 
-use crate::decide::connections::Share;
+use crate::decide::connections::ConnectionQuota;
 use crate::socket::watch_silence;
 use crate::util::Name;
 
@@ -74,7 +74,13 @@
     }
 
     /// Returns a connection to the pool after its answer was read to the end.
-    pub(crate) fn put_back(&self, upstream: &Name, link: Link, answer: &HeaderMap, share: Share) {
+    pub(crate) fn put_back(
+        &self,
+        upstream: &Name,
+        link: Link,
+        answer: &HeaderMap,
+        share: ConnectionQuota,
+    ) {
         let now = Instant::now();
         let Some(timeout) = idle_timeout(answer) else {
             return;
--- a/src/path/news.rs
+++ b/src/path/log_replica.rs
@@ -1,7 +1,7 @@
 //! State of the platform's log as known to this router: read from the log, or received from a peer.
 
 mod orders;
-mod told;
+mod sync;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -11,15 +11,15 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use crate::fleet::news::{Freshness, Pace};
-use crate::path::beliefs::Beliefs;
+use crate::fleet::log_reads::{Freshness, ReadSchedule};
+use crate::mutation::{Mutation, mutated};
 use crate::path::changes::Changes;
+use crate::path::cursor::Record;
 use crate::path::dialect::Records;
-use crate::path::reading::Record;
+use crate::path::router_state::RouterState;
 use crate::path::suspend::SuspendGuard;
 use crate::peers::packed;
-use crate::plant::{Plant, planted};
-use crate::schema::peer::UpstreamNews;
+use crate::schema::peer::UpstreamChange;
 use crate::util::{Clock, Name};
 
 /// Silence of the log after which entries of upstreams expire: three of their write intervals.
@@ -31,9 +31,9 @@
 
 /// Intervals at which each stream of the log is read.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Paces {
-    pub(crate) config: Pace,
-    pub(crate) upstreams: Pace,
+pub(crate) struct ReadSchedules {
+    pub(crate) config: ReadSchedule,
+    pub(crate) upstreams: ReadSchedule,
 }
 
 /// Compressed records, and the offset that they reflect.
@@ -44,10 +44,10 @@
 }
 
 /// Configuration and upstreams, with the data that is sent to other routers.
-pub(crate) struct News<D> {
-    beliefs: Rc<Beliefs>,
+pub(crate) struct LogReplica<D> {
+    state: Rc<RouterState>,
     clock: Clock,
-    paces: Cell<Paces>,
+    schedules: Cell<ReadSchedules>,
     /// Configuration in force, compressed for other routers.
     packed_config: RefCell<Bytes>,
     packed_upstreams: RefCell<Packed>,
@@ -67,12 +67,12 @@
     records: PhantomData<D>,
 }
 
-impl<D: Records> News<D> {
-    pub(crate) fn new(beliefs: Rc<Beliefs>, clock: Clock, paces: Paces) -> Self {
+impl<D: Records> LogReplica<D> {
+    pub(crate) fn new(state: Rc<RouterState>, clock: Clock, schedules: ReadSchedules) -> Self {
         Self {
-            beliefs,
+            state,
             clock,
-            paces: Cell::new(paces),
+            schedules: Cell::new(schedules),
             packed_config: RefCell::default(),
             packed_upstreams: RefCell::default(),
             config_fresh: Cell::default(),
@@ -93,9 +93,9 @@
     /// Checks the clock for a suspension of this router, after which its whole state is stale.
     pub(crate) fn check_clock(&self) {
         if self.suspend.check_clock() {
-            self.config_fresh.set(self.config_fresh.get().doubted());
+            self.config_fresh.set(self.config_fresh.get().invalidated());
             self.upstreams_fresh
-                .set(self.upstreams_fresh.get().doubted());
+                .set(self.upstreams_fresh.get().invalidated());
         }
     }
 
@@ -114,7 +114,7 @@
         match D::deployment(&record) {
             Ok(deployment) => {
                 let version = deployment.version;
-                if self.beliefs.configure(deployment) {
+                if self.state.configure(deployment) {
                     self.pack_config(&record);
                     log::info!("configuration {version} in force, from {source}");
                     self.notify_loaded();
@@ -154,9 +154,9 @@
     /// to be empty.
     pub(crate) fn is_loaded(&self) -> bool {
         let has_config =
-            self.beliefs.deployment().version > 0 || self.config_fresh.get().confirmed_ms() > 0;
+            self.state.deployment().version > 0 || self.config_fresh.get().confirmed_ms() > 0;
         let has_upstreams =
-            self.beliefs.upstream_count() > 0 || self.upstreams_fresh.get().confirmed_ms() > 0;
+            self.state.upstream_count() > 0 || self.upstreams_fresh.get().confirmed_ms() > 0;
         has_config && has_upstreams
     }
 
@@ -200,13 +200,13 @@
     /// Makes this router read the log at once, as a peer has newer upstreams that it cannot send.
     fn request_read(&self) {
         self.upstreams_fresh
-            .set(self.upstreams_fresh.get().doubted());
+            .set(self.upstreams_fresh.get().invalidated());
     }
 
     /// Whether this router is about to read from the log what its peers cannot send. False while
     /// the log fails.
     pub(crate) fn awaits_log(&self) -> bool {
-        self.upstreams_fresh.get().is_doubted() && !self.log_fails.get()
+        self.upstreams_fresh.get().is_invalidated() && !self.log_fails.get()
     }
 
     /// Whether the last read of the log failed.
@@ -222,12 +222,12 @@
     }
 
     /// Intervals at which the log is read.
-    pub(crate) fn paces(&self) -> Paces {
-        self.paces.get()
+    pub(crate) fn schedules(&self) -> ReadSchedules {
+        self.schedules.get()
     }
 
-    pub(crate) fn set_paces(&self, paces: Paces) {
-        self.paces.set(paces);
+    pub(crate) fn set_schedules(&self, schedules: ReadSchedules) {
+        self.schedules.set(schedules);
     }
 
     /// Offset of the log that the upstreams reflect; 0 if nothing is known.
@@ -245,7 +245,7 @@
         }
         // Records that were written and removed again since the last read are missing from the
         // changes kept here.
-        if !planted(Plant::KeepChangesOverGap) {
+        if !mutated(Mutation::KeepChangesOverGap) {
             self.start_at(end);
         }
         self.is_bulk.set(true);
@@ -269,7 +269,7 @@
         self.check_clock();
         self.end_silence();
         for (at, record) in (from + 1..).zip(records) {
-            if at > self.upstreams_at.get() || planted(Plant::TakeOldRecords) {
+            if at > self.upstreams_at.get() || mutated(Mutation::TakeOldRecords) {
                 self.record(at, record);
             }
         }
@@ -292,27 +292,27 @@
         };
         let draining = upstream.draining;
         let started_ms = upstream.started_ms;
-        let before_ms = self.beliefs.started_ms(id);
+        let before_ms = self.state.started_ms(id);
         // The clock of its host may have stepped back in between, so any different start time is a
         // restart. Zero means unknown.
         let is_different = |before_ms| before_ms != started_ms && before_ms > 0 && started_ms > 0;
         let is_restart = before_ms.is_some_and(is_different);
-        let is_new = !self.beliefs.has_upstream(id) && self.upstreams_at.get() > 0;
+        let is_new = !self.state.has_upstream(id) && self.upstreams_at.get() > 0;
         self.missing.borrow_mut().remove(id);
         let now_ms = self.clock.now_ms();
         let cold = upstream.clone();
-        let is_change = self.beliefs.change_upstreams(|u| u.put(upstream));
+        let is_change = self.state.change_upstreams(|u| u.put(upstream));
         let was_listed = self.upstreams.borrow().contains_key(id);
         if !is_change && was_listed {
             return;
         }
-        self.beliefs.told_cold(&cold, now_ms);
+        self.state.report_cold(&cold, now_ms);
         if is_restart {
             log::info!("upstream {id} restarted");
-            self.beliefs.record_restart(&id.into(), now_ms);
+            self.state.record_restart(&id.into(), now_ms);
         }
         if is_new || is_restart {
-            self.beliefs.record_join(id, now_ms);
+            self.state.record_join(id, now_ms);
         }
         if !self.is_bulk.get() {
             log::info!("upstream {id} is there, draining: {draining}, offset {at}");
@@ -335,7 +335,7 @@
         let silence_ms = self.upstreams_fresh.get().age_ms(now_ms);
         if self.upstreams_at.get() > 0
             && silence_ms > ENTRY_EXPIRY_MS
-            && !planted(Plant::DoubtNothing)
+            && !mutated(Mutation::DoubtNothing)
         {
             log::info!(
                 "upstream records received again after {silence_ms} ms; removals are delayed by {REMOVAL_DELAY_MS} ms"
@@ -351,7 +351,7 @@
             return;
         }
         let is_delayed = self.clock.now_ms() < self.removals_delayed_until_ms.get();
-        if !(is_delayed && planted(Plant::HoldRemovalsBack)) {
+        if !(is_delayed && mutated(Mutation::HoldRemovalsBack)) {
             self.push_change(at, id, Bytes::new());
         }
         if is_delayed {
@@ -372,11 +372,11 @@
     }
 
     fn drop_upstream(&self, at: u64, id: &str) {
-        if self.beliefs.change_upstreams(|u| u.remove(id)) {
+        if self.state.change_upstreams(|u| u.remove(id)) {
             if !self.is_bulk.get() {
                 log::info!("upstream {id} is gone, offset {at}");
             }
-            self.beliefs.record_death(id, self.clock.now_ms());
+            self.state.record_death(id, self.clock.now_ms());
         }
     }
 
@@ -387,7 +387,7 @@
     /// upstream.
     fn finish_bulk_update(&self, source: &str) {
         self.is_bulk.set(false);
-        let known = self.beliefs.upstream_count();
+        let known = self.state.upstream_count();
         let missing = self.missing.borrow().len();
         let offset = self.upstreams_at.get();
         log::info!(upstreams = known, missing, offset, source; "all upstreams taken");
@@ -404,7 +404,7 @@
 
     fn push_change(&self, at: u64, id: &str, record: Bytes) {
         self.upstreams_at.set(at.max(self.upstreams_at.get()));
-        self.changes.borrow_mut().push(UpstreamNews {
+        self.changes.borrow_mut().push(UpstreamChange {
             at,
             id: id.to_owned(),
             record: record.into(),
@@ -414,7 +414,7 @@
 
 /// State that tests compare with the log.
 #[cfg(test)]
-impl<D: Records> News<D> {
+impl<D: Records> LogReplica<D> {
     /// Ids of the listed upstreams, and whether each of them drains.
     pub(super) fn listed(&self) -> std::collections::BTreeMap<String, bool> {
         let upstreams = self.upstreams.borrow();
--- a/src/path/news/told.rs
+++ b/src/path/log_replica/sync.rs
@@ -5,11 +5,11 @@
 
 use bytes::Bytes;
 
-use crate::fleet::news::Freshness;
+use crate::fleet::log_reads::Freshness;
 use crate::path::dialect::Records;
-use crate::path::news::News;
+use crate::path::log_replica::LogReplica;
 use crate::peers::{frames, packed};
-use crate::schema::peer::{NewsAsk, NewsGive, NewsMark, UpstreamNews};
+use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest, UpstreamChange};
 use crate::util::Name;
 
 /// Age sent for the upstreams if the sender has newer ones that it does not send.
@@ -17,13 +17,13 @@
 /// Age of state that the sender does not have: older than any clock, so that it confirms nothing.
 const UNKNOWN_MS: u32 = u32::MAX - 1;
 
-impl<D: Records> News<D> {
+impl<D: Records> LogReplica<D> {
     /// Returns the versions, offsets and ages of the state of this router.
-    pub(crate) fn mark(&self) -> NewsMark {
+    pub(crate) fn position(&self) -> LogPosition {
         let now_ms = self.clock.now_ms();
         let age = |fresh: &Cell<Freshness>| age_ms(fresh.get(), now_ms);
-        NewsMark {
-            config_version: self.beliefs.deployment().version,
+        LogPosition {
+            config_version: self.state.deployment().version,
             config_age_ms: age(&self.config_fresh),
             upstreams_at: self.upstreams_at.get(),
             upstreams_age_ms: age(&self.upstreams_fresh),
@@ -32,14 +32,14 @@
     }
 
     /// Whether a router that published `mark` has newer state.
-    pub(crate) fn is_behind(&self, mark: &NewsMark) -> bool {
-        mark.config_version > self.beliefs.deployment().version
+    pub(crate) fn is_behind(&self, mark: &LogPosition) -> bool {
+        mark.config_version > self.state.deployment().version
             || mark.upstreams_at > self.upstreams_at.get()
             || mark.orders_at > self.orders_at()
     }
 
     /// Handles the state that another router published by gossip.
-    pub(crate) fn heard(&self, mark: &NewsMark) {
+    pub(crate) fn heard(&self, mark: &LogPosition) {
         if !self.needs_refresh() {
             self.confirm(mark, self.clock.now_ms());
         }
@@ -47,10 +47,10 @@
 
     /// Confirms the state of this router by that of another one at `as_of_ms`, as far as the other
     /// has nothing newer.
-    fn confirm(&self, mark: &NewsMark, as_of_ms: u64) {
+    fn confirm(&self, mark: &LogPosition, as_of_ms: u64) {
         let at = |age_ms: u32| as_of_ms.saturating_sub(age_ms.into());
         let has_orders = mark.orders_at == self.orders_at();
-        if has_orders && mark.config_version == self.beliefs.deployment().version {
+        if has_orders && mark.config_version == self.state.deployment().version {
             self.confirm_config(at(mark.config_age_ms));
         }
         if mark.upstreams_at == self.upstreams_at.get() {
@@ -59,17 +59,17 @@
     }
 
     /// Returns the state that the requester lacks.
-    pub(crate) fn give(&self, ask: &NewsAsk) -> NewsGive {
-        let has_newer = self.beliefs.deployment().version > ask.config_version;
+    pub(crate) fn give(&self, ask: &LogSyncRequest) -> LogSyncReply {
+        let has_newer = self.state.deployment().version > ask.config_version;
         let missed = self.changes.borrow().since(ask.upstreams_at);
         if missed.is_none() && !ask.takes_all {
             return self.give_config_only(ask, has_newer);
         }
-        let mut give = NewsGive {
+        let mut give = LogSyncReply {
             config: self.packed_config(has_newer),
-            mark: Some(self.mark()),
+            mark: Some(self.position()),
             evacuated: self.evacuated(ask),
-            ..NewsGive::default()
+            ..LogSyncReply::default()
         };
         let Some(changes) = missed else {
             give.all_upstreams = self.packed_upstreams();
@@ -94,17 +94,17 @@
     /// keeps only the changes since its own read, so those that read earlier would be sent all
     /// upstreams again and again by those that read later, over links that callers need. The log
     /// sends them the few changes that they lack.
-    fn give_config_only(&self, ask: &NewsAsk, has_newer: bool) -> NewsGive {
-        let mark = NewsMark {
+    fn give_config_only(&self, ask: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
+        let mark = LogPosition {
             upstreams_at: ask.upstreams_at,
             upstreams_age_ms: NOT_SENT_MS,
-            ..self.mark()
+            ..self.position()
         };
-        NewsGive {
+        LogSyncReply {
             config: self.packed_config(has_newer),
             mark: Some(mark),
             evacuated: self.evacuated(ask),
-            ..NewsGive::default()
+            ..LogSyncReply::default()
         }
     }
 
@@ -116,8 +116,8 @@
         }
     }
 
-    fn evacuated(&self, ask: &NewsAsk) -> Vec<String> {
-        let evacuations = self.beliefs.evacuations();
+    fn evacuated(&self, ask: &LogSyncRequest) -> Vec<String> {
+        let evacuations = self.state.evacuations();
         if evacuations.at() <= ask.orders_at {
             return Vec::new();
         }
@@ -141,17 +141,17 @@
 
     fn pack_upstreams(&self) -> Vec<u8> {
         let upstreams = self.upstreams.borrow();
-        let news = |(id, record): (&Name, &Bytes)| UpstreamNews {
+        let change = |(id, record): (&Name, &Bytes)| UpstreamChange {
             at: self.upstreams_at.get(),
             id: id.to_string(),
             record: record.to_vec(),
         };
-        let all: Vec<UpstreamNews> = upstreams.iter().map(news).collect();
+        let all: Vec<UpstreamChange> = upstreams.iter().map(change).collect();
         pack(&all)
     }
 
     /// Applies the answer of another router to a request sent at `asked_ms`.
-    pub(crate) fn take(&self, give: NewsGive, source: &str, asked_ms: u64) {
+    pub(crate) fn take(&self, give: LogSyncReply, source: &str, asked_ms: u64) {
         self.check_clock();
         let mark = give.mark.unwrap_or_default();
         if !give.config.is_empty() {
@@ -173,15 +173,15 @@
     }
 
     /// Applies the upstreams of an answer, and returns whether they could be decoded.
-    fn apply_upstreams(&self, give: NewsGive, at: u64, source: &str) -> bool {
+    fn apply_upstreams(&self, give: LogSyncReply, at: u64, source: &str) -> bool {
         let is_all = !give.all_upstreams.is_empty();
         let packed = if is_all {
             &give.all_upstreams
         } else {
             &give.changes
         };
-        let news = match unpack(packed) {
-            Ok(news) => news,
+        let changes = match unpack(packed) {
+            Ok(changes) => changes,
             Err(e) => {
                 log::error!("upstreams from {source} can't be decompressed and are ignored: {e}");
                 return false;
@@ -189,15 +189,15 @@
         };
         self.end_silence();
         if is_all {
-            self.apply_all(news, at, source);
+            self.apply_all(changes, at, source);
         } else {
-            self.apply_changes(news);
+            self.apply_changes(changes);
             self.upstreams_at.set(at);
         }
         true
     }
 
-    fn apply_all(&self, all: Vec<UpstreamNews>, at: u64, source: &str) {
+    fn apply_all(&self, all: Vec<UpstreamChange>, at: u64, source: &str) {
         self.is_bulk.set(true);
         self.start_at(at);
         let listed: HashSet<&str> = all.iter().map(|u| u.id.as_str()).collect();
@@ -210,12 +210,12 @@
         self.finish_bulk_update(source);
     }
 
-    fn apply_changes(&self, changes: Vec<UpstreamNews>) {
-        for news in changes {
-            if news.record.is_empty() {
-                self.remove(news.at, &news.id);
+    fn apply_changes(&self, changes: Vec<UpstreamChange>) {
+        for change in changes {
+            if change.record.is_empty() {
+                self.remove(change.at, &change.id);
             } else {
-                self.put(news.at, &news.id, news.record.into());
+                self.put(change.at, &change.id, change.record.into());
             }
         }
     }
@@ -229,8 +229,8 @@
 }
 
 /// Compresses upstreams for another router. A failure is logged, and the result is empty.
-fn pack(news: &Vec<UpstreamNews>) -> Vec<u8> {
-    let listed = frames::to_vec(news).map_err(|e| e.to_string());
+fn pack(changes: &Vec<UpstreamChange>) -> Vec<u8> {
+    let listed = frames::to_vec(changes).map_err(|e| e.to_string());
     let packed = listed.and_then(|listed| packed::pack(&listed).map_err(|e| e.to_string()));
     packed
         .inspect_err(|e| {
@@ -242,7 +242,7 @@
         .to_vec()
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<UpstreamNews>, String> {
+fn unpack(packed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
     if packed.is_empty() {
         return Ok(Vec::new());
     }
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -5,27 +5,27 @@
 //! validates it and resolves its route and account, `gate` queues it until its service has free
 //! capacity, `attempts` picks upstreams until one answers, `call` sends the request over a
 //! connection from `link`, and `answer` forwards the answer and resumes a stream that breaks off.
-//! [`routes`], [`upstreams`] and `beliefs` hold the state that these modules read; a [`dialect`]
+//! [`routes`], [`upstreams`] and `state` hold the state that these modules read; a [`dialect`]
 //! maps header names.
 
 pub(crate) mod answer;
 pub(crate) mod attempts;
-pub(crate) mod beliefs;
 pub(crate) mod call;
 pub(crate) mod callers;
 mod changes;
+pub(crate) mod cursor;
 pub mod dialect;
 pub mod evacuations;
 pub mod events;
 pub(crate) mod gate;
 pub(crate) mod health;
 pub(crate) mod link;
-pub(crate) mod news;
+pub(crate) mod log_replica;
 pub(crate) mod peers;
-pub(crate) mod reading;
 pub(crate) mod refusal;
 pub mod regions;
 pub(crate) mod request;
+pub(crate) mod router_state;
 pub mod routes;
 pub(crate) mod stop;
 pub(crate) mod suspects;
@@ -59,22 +59,22 @@
 use tokio::sync::watch;
 
 use crate::event::Events;
-use crate::fleet::flights::{self, TELL_MS};
 use crate::fleet::gossip::Gossip;
+use crate::fleet::in_flight::{self, REPORT_INTERVAL_MS};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::front::Drain;
-use crate::path::beliefs::Beliefs;
 use crate::path::dialect::Records;
 use crate::path::gate::AdmissionQueues;
 use crate::path::link::Links;
-use crate::path::news::News;
+use crate::path::log_replica::LogReplica;
+use crate::path::router_state::RouterState;
 use crate::stats;
 use crate::util::{Clock, Name};
 
 /// Time after start during which a router may not yet know the other members.
 pub(crate) const SETTLE_MS: u64 = 3_000;
 /// How often a router publishes its load to the other routers.
-const PUBLISH_INTERVAL: Duration = Duration::from_millis(TELL_MS);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
 /// Number of publishes between two sweeps of state kept for removed upstreams.
 const PUBLISHES_PER_SWEEP: u32 = 10;
 
@@ -89,8 +89,8 @@
 
 /// State shared by the tasks of the request path.
 pub(crate) struct Path<D> {
-    pub(crate) beliefs: Rc<Beliefs>,
-    pub(crate) news: News<D>,
+    pub(crate) state: Rc<RouterState>,
+    pub(crate) replica: LogReplica<D>,
     pub(crate) queues: Rc<AdmissionQueues>,
     pub(crate) links: Links,
     pub(crate) clock: Clock,
@@ -114,7 +114,7 @@
 
     /// Number of routers that this router can reach, itself included.
     pub(crate) fn reachable_routers(&self) -> usize {
-        flights::reachable(self.gossip.flights().heard, self.routers())
+        in_flight::reachable(self.gossip.in_flight().heard, self.routers())
     }
 
     /// Address at which other routers connect to `host`.
@@ -132,7 +132,7 @@
         }
         let fleet = self.fleet.borrow();
         let hosts: Vec<Name> = fleet.members.iter().map(|m| m.host.clone()).collect();
-        self.beliefs.assign_cold(&self.host, &hosts, now_ms);
+        self.state.assign_cold(&self.host, &hosts, now_ms);
     }
 
     /// Returns at most `max` addresses for callers that match `entry`: routers that accept work, in
@@ -143,12 +143,15 @@
     /// already be outside its allowed regions before a route is applied.
     pub(crate) fn entry_addrs(&self, entry: &Entry<'_>, max: usize) -> Vec<Name> {
         let fleet = self.fleet.borrow();
-        let deployment = self.beliefs.deployment();
-        let homes = entry.name.map_or_else(Vec::new, |n| deployment.homes(n));
-        let regions = self.beliefs.regions();
+        let deployment = self.state.deployment();
+        let allowed_regions = entry
+            .name
+            .map_or_else(Vec::new, |n| deployment.allowed_regions(n));
+        let regions = self.state.regions();
         let is_stopping = self.drain.is_stopping();
         let open = |m: &&Member| m.takes_work() && !(is_stopping && m.host == self.host);
-        let may_start = |m: &&Member| regions.may_start(entry.region, &homes, &m.data_center);
+        let may_start =
+            |m: &&Member| regions.may_start(entry.region, &allowed_regions, &m.data_center);
         let open = fleet.members.iter().filter(open).filter(may_start);
         open.map(|m| m.caller_addr.clone())
             .choose_multiple(&mut rand::rng(), max)
@@ -159,10 +162,10 @@
         if self.drain.is_stopping() {
             return Some("a planned stop is under way");
         }
-        if self.beliefs.deployment().version == 0 {
+        if self.state.deployment().version == 0 {
             return Some("no configuration yet");
         }
-        if self.beliefs.upstream_count() == 0 {
+        if self.state.upstream_count() == 0 {
             return Some("no upstream yet");
         }
         None
@@ -174,18 +177,19 @@
     let mut publishes = 0_u32;
     loop {
         compio::time::sleep(PUBLISH_INTERVAL).await;
-        let wishes = path.queues.refresh(&path.beliefs);
-        path.beliefs.tell_running(wishes, path.news.mark());
+        let wishes = path.queues.refresh(&path.state);
+        path.state
+            .publish_in_flight(wishes, path.replica.position());
         publishes = publishes.wrapping_add(1);
-        path.news.check_clock();
-        path.news.remove_missing();
-        path.beliefs.hear_suspicions(path.clock.now_ms());
-        path.beliefs.eject_failing(path.clock.now_ms());
+        path.replica.check_clock();
+        path.replica.remove_missing();
+        path.state.merge_suspicions(path.clock.now_ms());
+        path.state.eject_failing(path.clock.now_ms());
         path.assign_cold();
         if publishes.is_multiple_of(PUBLISHES_PER_SWEEP) {
-            path.links.sweep(|id| path.beliefs.has_upstream(id));
-            path.beliefs.sweep();
-            stats::upstreams_known(path.beliefs.upstream_count());
+            path.links.sweep(|id| path.state.has_upstream(id));
+            path.state.sweep();
+            stats::upstreams_known(path.state.upstream_count());
         }
     }
 }
--- a/src/path/news_tests.rs
+++ b/src/path/news_tests.rs
@@ -1,14 +1,14 @@
-use super::beliefs::{Beliefs, RetryLimit};
 use super::changes::MAX_CHANGES;
+use super::cursor::Order;
 use super::dialect::Records;
-use super::news::{News, Paces};
-use super::reading::Order;
+use super::log_replica::{LogReplica, ReadSchedules};
 use super::regions::Regions;
+use super::router_state::{RetryLimit, RouterState};
 use super::routes::{Deployment, Draft};
 use super::upstreams::Upstream;
 use crate::fleet::gossip::Gossip;
-use crate::fleet::news::Pace;
-use crate::schema::peer::NewsAsk;
+use crate::fleet::log_reads::ReadSchedule;
+use crate::schema::peer::LogSyncRequest;
 use crate::util::Clock;
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -51,8 +51,8 @@
 }
 
 pub(super) struct Router {
-    pub(super) beliefs: Rc<Beliefs>,
-    pub(super) news: News<Plain>,
+    pub(super) state: Rc<RouterState>,
+    pub(super) replica: LogReplica<Plain>,
 }
 
 impl Router {
@@ -66,35 +66,36 @@
             burst: 10.0,
         };
         let (gossip, _, _) = Gossip::open();
-        let beliefs = Rc::new(Beliefs::new(
+        let state = Rc::new(RouterState::new(
             limit,
             "north".into(),
             Regions::default(),
             gossip,
         ));
-        let paces = Paces {
-            config: Pace::within(2_000.0),
-            upstreams: Pace::within(2_000.0),
+        let schedules = ReadSchedules {
+            config: ReadSchedule::within(2_000.0),
+            upstreams: ReadSchedule::within(2_000.0),
         };
-        let news = News::new(beliefs.clone(), clock, paces);
-        Self { beliefs, news }
+        let replica = LogReplica::new(state.clone(), clock, schedules);
+        Self { state, replica }
     }
 
     /// Requests the state of `other` as routers do.
     fn learn_from(&self, other: &Self) {
-        let ask = NewsAsk {
-            config_version: self.beliefs.deployment().version,
-            upstreams_at: self.news.upstreams_at(),
+        let ask = LogSyncRequest {
+            config_version: self.state.deployment().version,
+            upstreams_at: self.replica.upstreams_at(),
             takes_all: true,
-            orders_at: self.news.orders_at(),
+            orders_at: self.replica.orders_at(),
         };
-        let asked_ms = self.news.now_ms();
-        self.news.take(other.news.give(&ask), "other", asked_ms);
+        let asked_ms = self.replica.now_ms();
+        self.replica
+            .take(other.replica.give(&ask), "other", asked_ms);
     }
 }
 
 fn put(router: &Router, at: u64, id: &str) {
-    router.news.put(at, id, Bytes::from_static(b"ready"));
+    router.replica.put(at, id, Bytes::from_static(b"ready"));
 }
 
 /// A reader that returns after a long silence of the log delays the removal of an upstream. Routers
@@ -109,14 +110,14 @@
     }
     // The silence is as old as the clock, far above the limit.
     std::thread::sleep(Duration::from_millis(3_100));
-    other.news.confirm_upstreams(3_000);
-    reader.news.end_silence();
-    reader.news.remove(3, "i-1");
+    other.replica.confirm_upstreams(3_000);
+    reader.replica.end_silence();
+    reader.replica.remove(3, "i-1");
     put(&reader, 4, "i-3");
-    assert!(reader.beliefs.has_upstream("i-1"), "removal is delayed");
+    assert!(reader.state.has_upstream("i-1"), "removal is delayed");
     other.learn_from(&reader);
-    assert!(!other.beliefs.has_upstream("i-1"));
-    assert!(other.beliefs.has_upstream("i-3"));
+    assert!(!other.state.has_upstream("i-1"));
+    assert!(other.state.has_upstream("i-3"));
 }
 
 /// A router that missed more changes than are kept is sent all upstreams, and drops those that are
@@ -133,9 +134,9 @@
         put(&reader, at, &format!("i-{at}"));
     }
     other.learn_from(&reader);
-    assert!(!other.beliefs.has_upstream("i-old"));
-    assert_eq!(other.beliefs.upstream_count(), MAX_CHANGES + 99);
-    assert_eq!(other.news.upstreams_at(), last);
+    assert!(!other.state.has_upstream("i-old"));
+    assert_eq!(other.state.upstream_count(), MAX_CHANGES + 99);
+    assert_eq!(other.replica.upstreams_at(), last);
 }
 
 /// Routers that start at once must not confirm their state by one another's empty state: none would
@@ -147,10 +148,10 @@
         Router::with_clock(clock_at(500)),
         Router::with_clock(clock_at(900)),
     );
-    early.news.heard(&late.news.mark());
+    early.replica.heard(&late.replica.position());
     early.learn_from(&late);
-    assert_eq!(early.news.config_confirmed_ms(), 0);
-    assert_eq!(early.news.upstreams_confirmed_ms(), 0);
+    assert_eq!(early.replica.config_confirmed_ms(), 0);
+    assert_eq!(early.replica.upstreams_confirmed_ms(), 0);
 }
 
 /// A router that starts while the log is unavailable must not hold requests once a peer has sent it
@@ -162,15 +163,15 @@
         Router::with_clock(clock_at(40_000)),
         Router::with_clock(clock_at(500)),
     );
-    old.news.configure(Bytes::from_static(b"3"), "a test");
+    old.replica.configure(Bytes::from_static(b"3"), "a test");
     put(&old, 1, "i-1");
-    old.news.confirm_config(10_000);
-    old.news.confirm_upstreams(10_000);
-    let settled = new.news.load_settled();
+    old.replica.confirm_config(10_000);
+    old.replica.confirm_upstreams(10_000);
+    let settled = new.replica.load_settled();
     let mut wait = pin!(settled.notified());
     assert!(!wait.as_mut().enable());
     new.learn_from(&old);
-    assert!(new.news.is_loaded());
+    assert!(new.replica.is_loaded());
     assert!(wait.now_or_never().is_some());
 }
 
@@ -178,10 +179,10 @@
 #[test]
 fn failing_log_ends_the_wait_for_the_first_load() {
     let router = Router::new();
-    let settled = router.news.load_settled();
+    let settled = router.replica.load_settled();
     let mut wait = pin!(settled.notified());
     assert!(!wait.as_mut().enable());
-    router.news.set_log_fails(true);
+    router.replica.set_log_fails(true);
     assert!(wait.now_or_never().is_some());
 }
 
@@ -190,12 +191,16 @@
 #[test]
 fn older_version_is_not_taken_from_a_peer() {
     let (ahead, behind) = (Router::new(), Router::new());
-    behind.news.configure(Bytes::from_static(b"3"), "the store");
-    ahead.news.configure(Bytes::from_static(b"7"), "the store");
+    behind
+        .replica
+        .configure(Bytes::from_static(b"3"), "the store");
+    ahead
+        .replica
+        .configure(Bytes::from_static(b"7"), "the store");
     ahead.learn_from(&behind);
-    assert_eq!(ahead.beliefs.deployment().version, 7);
+    assert_eq!(ahead.state.deployment().version, 7);
     behind.learn_from(&ahead);
-    assert_eq!(behind.beliefs.deployment().version, 7);
+    assert_eq!(behind.state.deployment().version, 7);
 }
 
 /// An upstream crashes and restarts under its id, and the clock of its host steps back in between,
@@ -206,11 +211,11 @@
 fn restart_is_detected_when_the_clock_steps_back(started: &str) {
     let router = Router::new();
     let ready = |started: &str| Bytes::from(format!("ready@{started}"));
-    router.news.put(1, "i-1", ready("5000"));
-    router.beliefs.record_replaced(&"i-1".into(), 10);
-    assert_eq!(router.beliefs.places("s", 20), None);
-    router.news.put(2, "i-1", ready(started));
-    assert_eq!(router.beliefs.places("s", 20), Some(1));
+    router.replica.put(1, "i-1", ready("5000"));
+    router.state.record_replaced(&"i-1".into(), 10);
+    assert_eq!(router.state.slots_open("s", 20), None);
+    router.replica.put(2, "i-1", ready(started));
+    assert_eq!(router.state.slots_open("s", 20), Some(1));
 }
 
 /// A router learns of one that has read more of the log, but keeps no changes from before its own
@@ -224,24 +229,26 @@
     put(&earlier, 4, "i-1");
     put(&later, 6, "i-1");
     put(&later, 6, "i-2");
-    later.news.start_at(7);
-    later.news.configure(Bytes::from_static(b"7"), "the store");
-    let ask = NewsAsk {
+    later.replica.start_at(7);
+    later
+        .replica
+        .configure(Bytes::from_static(b"7"), "the store");
+    let ask = LogSyncRequest {
         config_version: 0,
         upstreams_at: 4,
         takes_all: false,
         orders_at: 0,
     };
-    let give = later.news.give(&ask);
+    let give = later.replica.give(&ask);
     assert!(give.changes.is_empty() && give.all_upstreams.is_empty());
-    earlier.news.take(give, "later", 1_000);
-    assert_eq!(earlier.beliefs.deployment().version, 7);
-    assert_eq!(earlier.news.upstreams_at(), 4);
-    assert_eq!(earlier.news.upstreams_confirmed_ms(), 0, "not confirmed");
-    assert!(earlier.news.awaits_log());
+    earlier.replica.take(give, "later", 1_000);
+    assert_eq!(earlier.state.deployment().version, 7);
+    assert_eq!(earlier.replica.upstreams_at(), 4);
+    assert_eq!(earlier.replica.upstreams_confirmed_ms(), 0, "not confirmed");
+    assert!(earlier.replica.awaits_log());
     earlier.learn_from(&later);
     assert!(
-        earlier.beliefs.has_upstream("i-2"),
+        earlier.state.has_upstream("i-2"),
         "all upstreams, if the log is unavailable"
     );
 }
@@ -252,14 +259,14 @@
 fn late_record_does_not_restore_a_withdrawn_evacuation() {
     let (reader, late) = (Router::new(), Router::new());
     let evacuate = || Order::Evacuate("north".into());
-    reader.news.read_orders(0, vec![evacuate()], 1, 1);
-    assert!(reader.beliefs.evacuations().holds("north"));
+    reader.replica.read_orders(0, vec![evacuate()], 1, 1);
+    assert!(reader.state.evacuations().holds("north"));
     let readmit = vec![Order::Readmit("north".into())];
-    reader.news.read_orders(1, readmit, 2, 2);
+    reader.replica.read_orders(1, readmit, 2, 2);
     late.learn_from(&reader);
-    late.news.read_orders(0, vec![evacuate()], 3, 3);
-    assert!(!late.beliefs.evacuations().holds("north"));
-    assert_eq!(late.news.orders_at(), 2);
+    late.replica.read_orders(0, vec![evacuate()], 3, 3);
+    assert!(!late.state.evacuations().holds("north"));
+    assert_eq!(late.replica.orders_at(), 2);
 }
 
 /// A router that starts while a data centre is evacuated and the log is unavailable gets the
@@ -272,9 +279,9 @@
         Order::Other,
         Order::Evacuate("north".into()),
     ];
-    reader.news.read_all_orders(orders, 9, 1);
+    reader.replica.read_all_orders(orders, 9, 1);
     starter.learn_from(&reader);
-    assert_eq!(starter.beliefs.deployment().version, 7);
-    assert!(starter.beliefs.evacuations().holds("north"));
-    assert_eq!(starter.news.orders_at(), 9);
+    assert_eq!(starter.state.deployment().version, 7);
+    assert!(starter.state.evacuations().holds("north"));
+    assert_eq!(starter.replica.orders_at(), 9);
 }
--- a/src/path/beliefs.rs
+++ b/src/path/router_state.rs
@@ -11,19 +11,19 @@
 
 use crate::config::ALL_ON;
 use crate::decide::cold_start::ColdStarts;
-use crate::decide::connections::{self, Share};
+use crate::decide::connections::{self, ConnectionQuota};
 use crate::decide::ejection::Change;
-use crate::decide::retry::Budget;
+use crate::decide::retry::RetryBudget;
 use crate::fleet::gossip::{Gossip, Publish};
 use crate::fleet::loads::digest;
+use crate::mutation::{Mutation, mutated};
 use crate::path::evacuations::Evacuations;
 use crate::path::health::Health;
 use crate::path::regions::Regions;
 use crate::path::routes::Deployment;
 use crate::path::suspects::Suspects;
 use crate::path::upstreams::{Upstream, Upstreams};
-use crate::plant::{Plant, planted};
-use crate::schema::peer::{Flight, NewsMark, Suspicion, Wish};
+use crate::schema::peer::{InFlightCount, LogPosition, ServiceDemand, Suspicion};
 use crate::schema::settings::Decisions;
 use crate::util::Name;
 
@@ -45,13 +45,13 @@
 }
 
 /// State of one router. Tasks share it and hold no borrow across an await point.
-pub(crate) struct Beliefs {
+pub(crate) struct RouterState {
     deployment: RefCell<Rc<Deployment>>,
     upstreams: RefCell<Upstreams>,
     evacuations: RefCell<Evacuations>,
     cold_starts: RefCell<ColdStarts>,
     health: RefCell<Health>,
-    budgets: RefCell<HashMap<Name, Budget>>,
+    budgets: RefCell<HashMap<Name, RetryBudget>>,
     running: RefCell<HashMap<Name, u32>>,
     suspects: RefCell<Suspects>,
     suspicions: RefCell<watch::Receiver<Arc<Vec<Suspicion>>>>,
@@ -91,13 +91,13 @@
 
 /// Counts one request at one upstream while it exists.
 pub(crate) struct RunningGuard {
-    beliefs: Rc<Beliefs>,
+    state: Rc<RouterState>,
     upstream: Name,
 }
 
 impl Drop for RunningGuard {
     fn drop(&mut self) {
-        let mut running = self.beliefs.running.borrow_mut();
+        let mut running = self.state.running.borrow_mut();
         if let Some(count) = running.get_mut(&self.upstream) {
             *count -= 1;
             if *count == 0 {
@@ -107,7 +107,7 @@
     }
 }
 
-impl Beliefs {
+impl RouterState {
     pub(crate) fn new(
         retry_limit: RetryLimit,
         data_center: Name,
@@ -157,7 +157,7 @@
     /// handled by rules that an operator has since withdrawn.
     pub(crate) fn configure(&self, deployment: Deployment) -> bool {
         let mut current = self.deployment.borrow_mut();
-        if deployment.version <= current.version && !planted(Plant::TakeOlderVersion) {
+        if deployment.version <= current.version && !mutated(Mutation::TakeOlderVersion) {
             return false;
         }
         *current = Rc::new(deployment);
@@ -184,9 +184,9 @@
     }
 
     /// Records how much longer an upstream reports to stay cold.
-    pub(crate) fn told_cold(&self, upstream: &Upstream, now_ms: u64) {
+    pub(crate) fn report_cold(&self, upstream: &Upstream, now_ms: u64) {
         let mut cold_starts = self.cold_starts.borrow_mut();
-        cold_starts.told(&upstream.id, &upstream.service, upstream.cold_ms, now_ms);
+        cold_starts.reported(&upstream.id, &upstream.service, upstream.cold_ms, now_ms);
     }
 
     /// Assigns the cold upstreams to which this router, `host`, may send as one of `hosts`.
@@ -227,11 +227,11 @@
     }
 
     /// Connections that this router may open to each upstream of `service`, as one of `routers`.
-    pub(crate) fn connections(&self, service: &str, routers: usize) -> Share {
+    pub(crate) fn connections(&self, service: &str, routers: usize) -> ConnectionQuota {
         let deployment = self.deployment.borrow();
         let max_connections = deployment.max_connections(service);
         let is_divided = self.decisions().connection_shares;
-        connections::share(max_connections.filter(|_| is_divided), routers)
+        connections::quota(max_connections.filter(|_| is_divided), routers)
     }
 
     /// Number of requests of this router that run or wait at `upstream`.
@@ -241,12 +241,12 @@
 
     /// Mean age of the load reports of the other routers.
     pub(crate) fn load_report_age_ms(&self) -> f64 {
-        self.gossip.flights().age_ms
+        self.gossip.in_flight().age_ms
     }
 
     /// Demand for `service` of each of the other routers, in requests.
-    pub(crate) fn wishes_of_others(&self, service: &str) -> Vec<u32> {
-        let load = self.gossip.flights();
+    pub(crate) fn demands_of_others(&self, service: &str) -> Vec<u32> {
+        let load = self.gossip.in_flight();
         load.wishes
             .get(&digest(service))
             .cloned()
@@ -271,15 +271,15 @@
             .entry(upstream.clone())
             .or_insert(0) += 1;
         RunningGuard {
-            beliefs: self.clone(),
+            state: self.clone(),
             upstream: upstream.clone(),
         }
     }
 
     /// Publishes the requests running at each upstream, and the outcomes of calls since the last
     /// publish.
-    pub(crate) fn tell_running(&self, wishes: Vec<Wish>, mark: NewsMark) {
-        let mut flights: HashMap<Name, Flight> = HashMap::new();
+    pub(crate) fn publish_in_flight(&self, wishes: Vec<ServiceDemand>, mark: LogPosition) {
+        let mut flights: HashMap<Name, InFlightCount> = HashMap::new();
         for (id, running) in self.running.borrow().iter() {
             flights.entry(id.clone()).or_default().running = *running;
         }
@@ -288,17 +288,18 @@
             flight.ended = ended.ended;
             flight.failed = ended.failed;
         }
-        let flights = flights.into_iter().map(|(id, flight)| Flight {
+        let flights = flights.into_iter().map(|(id, flight)| InFlightCount {
             upstream_digest: digest(&id),
             ..flight
         });
         let flights = flights.collect();
-        self.gossip.publish(Publish::Flights(flights, wishes, mark));
+        self.gossip
+            .publish(Publish::InFlight(flights, wishes, mark));
     }
 
     /// Ejects upstreams whose failure share is too high, by the outcomes that all routers observed.
     pub(crate) fn eject_failing(&self, now_ms: u64) {
-        let reported = &self.gossip.flights().upstreams;
+        let reported = &self.gossip.in_flight().upstreams;
         let upstreams = self.upstreams.borrow();
         let mut health = self.health.borrow_mut();
         for pool in upstreams.pools() {
@@ -375,7 +376,7 @@
     }
 
     /// Applies the suspicions that other routers published.
-    pub(crate) fn hear_suspicions(&self, now_ms: u64) {
+    pub(crate) fn merge_suspicions(&self, now_ms: u64) {
         let mut suspicions = self.suspicions.borrow_mut();
         if !suspicions.has_changed().unwrap_or(false) {
             return;
@@ -400,7 +401,7 @@
 
     /// Whether the load of `service` explains late answers and rejections by its upstreams.
     fn is_under_load(&self, service: &str) -> bool {
-        let load = self.gossip.flights();
+        let load = self.gossip.in_flight();
         let own = self.running.borrow();
         let upstreams = self.upstreams.borrow();
         let (mut running, mut slots) = (0.0, 0);
@@ -440,7 +441,7 @@
         let share = limit.share * BUDGET_SHARE;
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::with_burst(share, burst));
+            .or_insert_with(|| RetryBudget::with_burst(share, burst));
         budget.set_share(share);
         budget.set_burst(burst);
         budget.first_try();
@@ -449,7 +450,7 @@
     /// Takes one retry from the budget of `service`, and returns whether it was available.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let mut budgets = self.budgets.borrow_mut();
-        budgets.get_mut(service).is_some_and(Budget::take)
+        budgets.get_mut(service).is_some_and(RetryBudget::take)
     }
 
     /// Drops the state of upstreams that no longer exist.
--- a/src/path/beliefs/pool.rs
+++ b/src/path/router_state/pool.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use crate::decide::spread::{self, Seat};
+use crate::decide::spread::{self, Candidate};
 use crate::fleet::loads::digest;
-use crate::path::beliefs::{Beliefs, Tried};
-use crate::path::regions::Homes;
+use crate::path::regions::AllowedRegions;
+use crate::path::router_state::{RouterState, Tried};
 use crate::path::upstreams::Upstream;
 use crate::util;
 
@@ -33,19 +33,19 @@
     Relaxation::Tried,
 ];
 
-impl Beliefs {
+impl RouterState {
     /// Returns the upstreams of `service` and the state of each; this router may open `max_open`
     /// connections to each.
     pub(crate) fn pool(
         &self,
         service: &str,
         tried: &Tried<'_>,
-        homes: &[&Homes],
+        allowed_regions: &[&AllowedRegions],
         max_open: u32,
         now_ms: u64,
-    ) -> (Vec<Rc<Upstream>>, Vec<Seat>) {
+    ) -> (Vec<Rc<Upstream>>, Vec<Candidate>) {
         let pool = self.upstreams.borrow().pool(service).to_vec();
-        let load = self.gossip.flights();
+        let load = self.gossip.in_flight();
         let others = &load.upstreams;
         let running = self.running.borrow();
         let health = self.health.borrow();
@@ -55,7 +55,7 @@
         let own = |u: &Upstream| running.get(&u.id).copied().unwrap_or(0);
         let evacuations = self.evacuations.borrow();
         let cold_starts = self.cold_starts.borrow();
-        let is_spared =
+        let is_withheld =
             |u: &Upstream| evacuations.holds(&u.data_center) || !cold_starts.admits(&u.id, now_ms);
         // Evacuations, allowed regions and the limits of cold upstreams apply even if no other
         // upstream is left. The request is then refused at once.
@@ -63,12 +63,12 @@
             u.draining
                 || health.is_replaced(u)
                 || own(u) >= max_open
-                || is_spared(u)
-                || !self.regions.allow(homes, &u.data_center)
+                || is_withheld(u)
+                || !self.regions.allow(allowed_regions, &u.data_center)
         };
         let is_unreachable =
             |u: &Upstream| decisions.unreachable && health.is_unreachable(u, now_ms);
-        let is_barred = |u: &Upstream, relaxation: Relaxation| {
+        let is_excluded = |u: &Upstream, relaxation: Relaxation| {
             is_closed(u)
                 || (relaxation < Relaxation::Tried || !tried.may_repeat) && tried.contains(&u.id)
                 || relaxation < Relaxation::Unreachable && is_unreachable(u)
@@ -82,36 +82,36 @@
                 .map_or(0.0, |t| t.running)
         };
         let mut peer_load: Vec<f64> = pool.iter().map(reported).collect();
-        spread::steady(&mut peer_load, load.share);
-        let seat = |(u, peer_load): (&Rc<Upstream>, &f64)| Seat {
+        spread::shrink_to_mean(&mut peer_load, load.share);
+        let candidate = |(u, peer_load): (&Rc<Upstream>, &f64)| Candidate {
             id_hash: util::hash_bytes(u.id.as_bytes()),
             running: own(u) + peer_load.round() as u32,
             own: own(u),
             slots: u.slots,
-            near: u.data_center == self.data_center,
-            barred: is_barred(u, Relaxation::None),
-            spared: is_spared(u) && !u.draining,
+            is_local: u.data_center == self.data_center,
+            excluded: is_excluded(u, Relaxation::None),
+            withheld: is_withheld(u) && !u.draining,
             has_parts: health.is_cache_source(u, now_ms)
                 && !evacuations.holds(&u.data_center)
                 && joined
                     .get(&u.id)
                     .is_none_or(|at| at + CACHE_WARMUP_MS < now_ms),
         };
-        let mut seats: Vec<Seat> = pool.iter().zip(&peer_load).map(seat).collect();
+        let mut candidates: Vec<Candidate> = pool.iter().zip(&peer_load).map(candidate).collect();
         for relaxation in RELAXATIONS {
-            if seats.iter().any(|s| !s.barred) {
+            if candidates.iter().any(|s| !s.excluded) {
                 break;
             }
-            for (seat, upstream) in seats.iter_mut().zip(&pool) {
-                seat.barred = is_barred(upstream, relaxation);
+            for (candidate, upstream) in candidates.iter_mut().zip(&pool) {
+                candidate.excluded = is_excluded(upstream, relaxation);
             }
         }
-        (pool, seats)
+        (pool, candidates)
     }
 
     /// Returns the number of requests that the upstreams of `service` run at once, without excluded
     /// upstreams, or `None` if they don't report their slots.
-    pub(crate) fn places(&self, service: &str, now_ms: u64) -> Option<u32> {
+    pub(crate) fn slots_open(&self, service: &str, now_ms: u64) -> Option<u32> {
         let upstreams = self.upstreams.borrow();
         let health = self.health.borrow();
         let decisions = self.decisions();
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use crate::path::regions::Homes;
+use crate::path::regions::AllowedRegions;
 use crate::util::Name;
 
 /// Whether and how a failed request may run again.
@@ -70,7 +70,7 @@
     /// Whether prompts share parts that upstreams cache.
     pub cached_prompts: bool,
     /// Regions that its requests may go to.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
@@ -96,7 +96,7 @@
     /// Takes precedence over the priority of the route, which decides among equal ones.
     pub priority: Option<u8>,
     /// Regions that its requests may go to.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Limits of the size and duration of requests.
@@ -221,7 +221,7 @@
     ///     priority: 0,
     ///     public: true,
     ///     cached_prompts: false,
-    ///     homes: None,
+    ///     allowed_regions: None,
     /// };
     /// let routes = vec![("a.example".into(), route("all", "/")), ("a.example".into(), route("one", "/x/"))];
     /// let deployment = Deployment::from(Draft { version: 1, routes, ..Draft::default() });
@@ -241,10 +241,10 @@
     }
 
     /// Allowed regions of those routes of `host` that are bound to regions.
-    pub fn homes(&self, host: &str) -> Vec<&Homes> {
+    pub fn allowed_regions(&self, host: &str) -> Vec<&AllowedRegions> {
         let routes = self.routes.get(host).into_iter().flatten();
-        let homes = routes.map(|r| &r.homes);
-        homes.filter(|h| h.is_some()).collect()
+        let allowed_regions = routes.map(|r| &r.allowed_regions);
+        allowed_regions.filter(|h| h.is_some()).collect()
     }
 
     /// Connections that each upstream of `service` accepts from all routers together, if configured.
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::fleet::gossip::Note;
+use crate::fleet::gossip::GossipCommand;
 use crate::front::drain::Phase;
 use crate::path::Path;
 
@@ -22,7 +22,7 @@
     let started = Instant::now();
     let limit = grace.mul_f64(GRACE_SHARE);
     path.drain.enter(Phase::Leaving);
-    path.gossip.note(Note::Leave);
+    path.gossip.send(GossipCommand::Leave);
     let notice = entry_ttl * ENTRY_TTL_FACTOR;
     compio::time::sleep(notice.min(limit / 2)).await;
     path.drain.enter(Phase::Refusing);
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -7,7 +7,7 @@
 
 use std::collections::VecDeque;
 
-use crate::decide::quarantine::{Quarantine, Standing};
+use crate::decide::quarantine::{Quarantine, QuarantineStatus};
 use crate::schema::peer::Suspicion;
 use crate::util::Name;
 
@@ -33,9 +33,9 @@
 impl Suspects {
     /// Remaining time of the quarantine of the request, if it is quarantined.
     pub(crate) fn quarantine_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
-        match self.quarantine.standing(fingerprint, now_ms) {
-            Standing::Convicted { left_ms } => Some(left_ms),
-            Standing::Free | Standing::Suspect => None,
+        match self.quarantine.status(fingerprint, now_ms) {
+            QuarantineStatus::Convicted { left_ms } => Some(left_ms),
+            QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
 
@@ -94,6 +94,6 @@
             age_ms,
         } = *suspicion;
         self.quarantine
-            .heard(fingerprint, deaths, cleared, age_ms, now_ms);
+            .merge(fingerprint, deaths, cleared, age_ms, now_ms);
     }
 }
