--- a/src/path/gate.rs
+++ b/src/path/admission_queue.rs
@@ -114,7 +114,7 @@
     /// the demand to publish to the other routers.
     pub(crate) fn refresh(&self, state: &RouterState) -> Vec<ServiceDemand> {
         let now_ms = self.clock.now_ms();
-        let mut wishes = Vec::new();
+        let mut demands = Vec::new();
         for (service, queue) in self.queues.borrow_mut().iter_mut() {
             let slots_open = state.slots_open(service, now_ms);
             queue.slots_open = slots_open.map(|p| f64::from(p) * queue.admission.fill());
@@ -123,13 +123,13 @@
             let wanted = queue.admission.demand();
             if wanted > 0 {
                 let service_digest = digest(service);
-                wishes.push(ServiceDemand {
+                demands.push(ServiceDemand {
                     service_digest,
                     wanted,
                 });
             }
         }
-        wishes
+        demands
     }
 
     /// Usual duration of a request to `service`, once some were observed.
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -11,10 +11,10 @@
 use crate::decide::refusal::{Cause, RunState, jittered_ms};
 use crate::decide::spread::{self, Bound, Counts, Selection};
 use crate::event::{Kind, chat_name};
-use crate::path::Path;
+use crate::path::RequestPath;
+use crate::path::admission_queue::Permit;
 use crate::path::call::{BufferedReply, Call, CallError, FailureKind, Reply, UpstreamClient};
 use crate::path::dialect::{CallHead, CallerHead, Dialect, Records};
-use crate::path::gate::Permit;
 use crate::path::refusal::Refused;
 use crate::path::router_state::Tried;
 use crate::path::routes::{Account, Route};
@@ -40,7 +40,7 @@
 
 /// Context shared by all attempts of a request.
 pub(crate) struct RequestContext<D> {
-    pub(crate) path: Rc<Path<D>>,
+    pub(crate) path: Rc<RequestPath<D>>,
     pub(crate) parts: Parts,
     pub(crate) head: CallerHead,
     pub(crate) body: Bytes,
@@ -258,7 +258,7 @@
         };
         let client = UpstreamClient {
             state: &context.path.state,
-            links: &context.path.links,
+            connections: &context.path.connections,
             share: self.connection_share(),
             clock: context.path.clock,
         };
@@ -374,16 +374,16 @@
     /// Describes the state that a decision was based on, and its age.
     fn describe_state(&self) -> String {
         let context = &self.context;
-        let mark = context.path.replica.position();
+        let position = context.path.replica.position();
         format!(
             "route {}, service {}, configuration {} read {} ms ago, upstreams at {} read {} ms ago, \
              {} ms left",
             context.route.name,
             context.service,
-            mark.config_version,
-            mark.config_age_ms,
-            mark.upstreams_at,
-            mark.upstreams_age_ms,
+            position.config_version,
+            position.config_age_ms,
+            position.upstreams_at,
+            position.upstreams_age_ms,
             self.remaining().as_millis(),
         )
     }
--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -13,8 +13,8 @@
 use strum::IntoStaticStr;
 
 use crate::decide::connections::ConnectionQuota;
+use crate::path::connection::{self, Connection, ConnectionPool};
 use crate::path::dialect::{AnswerHead, Dialect};
-use crate::path::link::{self, Link, Links};
 use crate::path::router_state::{RouterState, RunningGuard};
 use crate::path::upstreams::Upstream;
 use crate::util::{Clock, Name};
@@ -56,8 +56,8 @@
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) parts: Parts,
     body: Incoming,
-    link: Link,
-    links: Links,
+    connection: Connection,
+    connections: ConnectionPool,
     share: ConnectionQuota,
     running: RunningGuard,
 }
@@ -72,7 +72,7 @@
 /// Context shared by the calls of a request.
 pub(crate) struct UpstreamClient<'a> {
     pub(crate) state: &'a Rc<RouterState>,
-    pub(crate) links: &'a Links,
+    pub(crate) connections: &'a ConnectionPool,
     pub(crate) share: ConnectionQuota,
     pub(crate) clock: Clock,
 }
@@ -100,7 +100,7 @@
         let started = Instant::now();
         let sent = self.send(&upstream, &call).await;
         let now_ms = self.clock.now_ms();
-        let (parts, body, link) = match sent {
+        let (parts, body, connection) = match sent {
             Ok(answer) => answer,
             Err(failed) => {
                 if failed.timed_out {
@@ -126,7 +126,8 @@
             Ok(()) => self.state.record_error_answer(&upstream, now_ms),
             Err(failed) => {
                 if matches!(failed.kind, FailureKind::Rejected | FailureKind::Replaced) {
-                    self.drain_rejection(&upstream, body, link, &parts).await;
+                    self.drain_rejection(&upstream, body, connection, &parts)
+                        .await;
                 }
                 if failed.kind == FailureKind::Rejected {
                     self.state
@@ -141,8 +142,8 @@
             upstream,
             parts,
             body,
-            link,
-            links: self.links.clone(),
+            connection,
+            connections: self.connections.clone(),
             share: self.share,
             running,
         })
@@ -152,17 +153,17 @@
         &self,
         upstream: &Upstream,
         call: &Call<'_>,
-    ) -> Result<(Parts, Incoming, Link), CallError> {
+    ) -> Result<(Parts, Incoming, Connection), CallError> {
         let timeout = compio::time::timeout(call.timeout, async {
             let idle = if call.new_connection {
                 None
             } else {
-                self.links.take_idle(&upstream.id)
+                self.connections.take_idle(&upstream.id)
             };
-            let Some(link) = idle else {
+            let Some(connection) = idle else {
                 return self.send_on_new(upstream, call).await;
             };
-            match send_on(link, call).await {
+            match send_on(connection, call).await {
                 // The upstream closed the idle connection; no byte was sent.
                 Err(failed) if failed.kind == FailureKind::NotSent => {
                     self.send_on_new(upstream, call).await
@@ -185,13 +186,13 @@
         &self,
         upstream: &Upstream,
         call: &Call<'_>,
-    ) -> Result<(Parts, Incoming, Link), CallError> {
+    ) -> Result<(Parts, Incoming, Connection), CallError> {
         let in_use = self.state.running(&upstream.id);
-        self.links
+        self.connections
             .close_excess(&upstream.id, self.share.open.saturating_sub(in_use));
-        let opened = link::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
-        let link = opened.map_err(|e| not_sent(e.to_string()))?;
-        send_on(link, call).await
+        let opened = connection::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
+        let connection = opened.map_err(|e| not_sent(e.to_string()))?;
+        send_on(connection, call).await
     }
 
     /// Reads the body of a rejection, so that its connection can be reused.
@@ -199,23 +200,26 @@
         &self,
         upstream: &Upstream,
         body: Incoming,
-        link: Link,
+        connection: Connection,
         parts: &Parts,
     ) {
         let read = compio::time::timeout(CONNECT_TIMEOUT, body.collect()).await;
         if matches!(read, Ok(Ok(_))) {
-            self.links
-                .put_back(&upstream.id, link, &parts.headers, self.share);
+            self.connections
+                .put_back(&upstream.id, connection, &parts.headers, self.share);
         }
     }
 }
 
-async fn send_on(mut link: Link, call: &Call<'_>) -> Result<(Parts, Incoming, Link), CallError> {
-    let sent = link.sender.try_send_request(build(call)).await;
+async fn send_on(
+    mut connection: Connection,
+    call: &Call<'_>,
+) -> Result<(Parts, Incoming, Connection), CallError> {
+    let sent = connection.sender.try_send_request(build(call)).await;
     match sent {
         Ok(response) => {
             let (parts, body) = response.into_parts();
-            Ok((parts, body, link))
+            Ok((parts, body, connection))
         }
         Err(mut e) => {
             let reason = e.error().to_string();
@@ -295,8 +299,8 @@
             upstream,
             parts,
             mut body,
-            link,
-            links,
+            connection,
+            connections,
             share,
             running,
         } = self;
@@ -314,7 +318,7 @@
         });
         let body = read.await.ok()??;
         drop(running);
-        links.put_back(&upstream.id, link, &parts.headers, share);
+        connections.put_back(&upstream.id, connection, &parts.headers, share);
         Some(BufferedReply {
             upstream: upstream.id.clone(),
             parts,
@@ -337,9 +341,9 @@
 
     /// Returns the connection to the pool after the whole body was read.
     pub(crate) fn finish(self) {
-        self.links.put_back(
+        self.connections.put_back(
             &self.upstream.id,
-            self.link,
+            self.connection,
             &self.parts.headers,
             self.share,
         );
--- a/src/path/callers.rs
+++ b/src/path/callers.rs
@@ -14,7 +14,7 @@
 use crate::path::dialect::{Dialect, Records};
 use crate::path::refusal::Refused;
 use crate::path::routes::CallerLimits;
-use crate::path::{Path, request};
+use crate::path::{RequestPath, request};
 use crate::schema::settings::Limits;
 use crate::socket::watch_silence;
 
@@ -34,7 +34,7 @@
 pub(crate) async fn bind<D: Dialect + Records>(
     addr: SocketAddr,
     limits: Limits,
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
@@ -50,7 +50,7 @@
 
 async fn serve<D: Dialect + Records>(
     stream: TcpStream,
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
     _permit: ConnectionPermit,
 ) {
     watch_silence(&stream);
--- a/src/path/link.rs
+++ b/src/path/connection.rs
@@ -31,7 +31,7 @@
 
 /// Failure to open a connection; no byte of a request was sent.
 #[derive(Debug, Snafu)]
-pub(crate) enum LinkError {
+pub(crate) enum ConnectError {
     #[snafu(display("can't connect: {source}"))]
     Refused { source: std::io::Error },
     #[snafu(display("connecting timed out"))]
@@ -42,7 +42,7 @@
 
 /// Connection to one upstream, used for one request at a time.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct Connection {
     pub(crate) sender: Sender,
 }
 
@@ -53,19 +53,19 @@
 
 /// Pool of idle connections.
 #[derive(Clone, Default)]
-pub(crate) struct Links {
+pub(crate) struct ConnectionPool {
     idle: Rc<RefCell<HashMap<Name, Vec<IdleConnection>>>>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// Takes an idle connection to `upstream` that can still be used.
-    pub(crate) fn take_idle(&self, upstream: &str) -> Option<Link> {
+    pub(crate) fn take_idle(&self, upstream: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(upstream)?;
         let now = Instant::now();
         while let Some(idle_connection) = connections.pop() {
             if idle_connection.until > now && idle_connection.sender.is_ready() {
-                return Some(Link {
+                return Some(Connection {
                     sender: idle_connection.sender,
                 });
             }
@@ -77,7 +77,7 @@
     pub(crate) fn put_back(
         &self,
         upstream: &Name,
-        link: Link,
+        connection: Connection,
         answer: &HeaderMap,
         share: ConnectionQuota,
     ) {
@@ -93,7 +93,7 @@
         if connections.len() < share.idle as usize {
             let until = now + timeout.mul_f64(IDLE_SHARE);
             connections.push(IdleConnection {
-                sender: link.sender,
+                sender: connection.sender,
                 until,
             });
         }
@@ -135,10 +135,10 @@
 }
 
 /// Opens a connection to `addr`.
-pub(crate) async fn open(addr: SocketAddr, timeout: Duration) -> Result<Link, LinkError> {
+pub(crate) async fn open(addr: SocketAddr, timeout: Duration) -> Result<Connection, ConnectError> {
     let stream = compio::time::timeout(timeout, TcpStream::connect(addr))
         .await
-        .map_err(|_| LinkError::TimedOut)?
+        .map_err(|_| ConnectError::TimedOut)?
         .context(RefusedSnafu)?;
     watch_silence(&stream);
     let io = HyperStream::new_plain(stream);
@@ -149,5 +149,5 @@
         }
     })
     .detach();
-    Ok(Link { sender })
+    Ok(Connection { sender })
 }
--- a/src/path/cursor.rs
+++ b/src/path/cursor.rs
@@ -47,7 +47,7 @@
     ///
     /// Failure guarded against: records expire before they are read. A reader that keeps requesting
     /// them gets the same rejection forever, at the speed of the network.
-    pub(crate) fn ask(&self, known_end: u64) -> ReadRange {
+    pub(crate) fn next_read(&self, known_end: u64) -> ReadRange {
         let known = self.next.map(|next| next.max(known_end));
         let known = known.or((known_end > 0).then_some(known_end));
         match known {
@@ -57,18 +57,18 @@
     }
 
     /// Notes that all records were read; `end` is the offset to continue from.
-    pub(crate) fn took_all(&mut self, end: u64) {
+    pub(crate) fn reset_to(&mut self, end: u64) {
         self.next = Some(end);
         self.is_expired = false;
     }
 
     /// Notes that `count` records from offset `from` on were read.
-    pub(crate) fn took(&mut self, from: u64, count: usize) {
+    pub(crate) fn advance(&mut self, from: u64, count: usize) {
         self.next = Some(from + count as u64);
     }
 
     /// Notes that the requested records were deleted.
-    pub(crate) fn expired(&mut self) {
+    pub(crate) fn set_expired(&mut self) {
         self.is_expired = true;
     }
 }
--- a/src/path/dialect.rs
+++ b/src/path/dialect.rs
@@ -89,5 +89,5 @@
     fn retry_after(retry_after_ms: u64) -> HeaderValue;
 
     /// Sets the request id in an answer of this router's own.
-    fn mark_own(headers: &mut HeaderMap, request_id: &str);
+    fn set_request_id(headers: &mut HeaderMap, request_id: &str);
 }
--- a/src/path/evacuations.rs
+++ b/src/path/evacuations.rs
@@ -12,7 +12,7 @@
 /// let mut evacuations = Evacuations::default();
 /// assert!(evacuations.set(3, "north", true));
 /// assert!(!evacuations.set(2, "north", false), "older than the applied records");
-/// assert!(evacuations.holds("north"));
+/// assert!(evacuations.contains("north"));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
@@ -22,12 +22,12 @@
 
 impl Evacuations {
     /// Whether `data_center` is evacuated.
-    pub fn holds(&self, data_center: &str) -> bool {
+    pub fn contains(&self, data_center: &str) -> bool {
         self.data_centers.contains(data_center)
     }
 
     /// Offset up to which the records of operators are applied; 0 if none are.
-    pub fn at(&self) -> u64 {
+    pub fn offset(&self) -> u64 {
         self.at
     }
 
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -236,7 +236,7 @@
     }
 
     /// Applies all upstreams of the log as of offset `end`.
-    pub(crate) fn read_all(&self, records: Vec<Record>, end: u64, asked_ms: u64) {
+    pub(crate) fn apply_snapshot(&self, records: Vec<Record>, end: u64, asked_ms: u64) {
         self.check_clock();
         self.end_silence();
         if end < self.upstreams_at.get() {
@@ -265,7 +265,13 @@
 
     /// Applies the records of upstreams from offset `from` on, which were all there were at
     /// `seen_ms`.
-    pub(crate) fn read_on(&self, from: u64, records: Vec<Record>, asked_ms: u64, seen_ms: u64) {
+    pub(crate) fn apply_records(
+        &self,
+        from: u64,
+        records: Vec<Record>,
+        asked_ms: u64,
+        seen_ms: u64,
+    ) {
         self.check_clock();
         self.end_silence();
         for (at, record) in (from + 1..).zip(records) {
--- a/src/path/log_replica/orders.rs
+++ b/src/path/log_replica/orders.rs
@@ -10,12 +10,12 @@
 impl<D: Records> LogReplica<D> {
     /// Offset of the log that configuration and evacuations reflect; 0 if nothing is known.
     pub(crate) fn orders_at(&self) -> u64 {
-        self.state.evacuations().at()
+        self.state.evacuations().offset()
     }
 
     /// Applies the records of operators from offset `from` on, which were all there were at
     /// `seen_ms`. They were requested at `asked_ms`.
-    pub(crate) fn read_orders(&self, from: u64, orders: Vec<Order>, asked_ms: u64, seen_ms: u64) {
+    pub(crate) fn apply_orders(&self, from: u64, orders: Vec<Order>, asked_ms: u64, seen_ms: u64) {
         self.check_clock();
         let end = from + orders.len() as u64;
         for (at, order) in (from + 1..).zip(orders) {
@@ -27,7 +27,7 @@
     }
 
     /// Applies the newest records of operators up to offset `end`.
-    pub(crate) fn read_all_orders(&self, orders: Vec<Order>, end: u64, asked_ms: u64) {
+    pub(crate) fn apply_order_snapshot(&self, orders: Vec<Order>, end: u64, asked_ms: u64) {
         self.check_clock();
         let mut evacuated = BTreeSet::new();
         for order in orders {
--- a/src/path/log_replica/sync.rs
+++ b/src/path/log_replica/sync.rs
@@ -31,60 +31,60 @@
         }
     }
 
-    /// Whether a router that published `mark` has newer state.
-    pub(crate) fn is_behind(&self, mark: &LogPosition) -> bool {
-        mark.config_version > self.state.deployment().version
-            || mark.upstreams_at > self.upstreams_at.get()
-            || mark.orders_at > self.orders_at()
+    /// Whether a router that published `position` has newer state.
+    pub(crate) fn is_behind(&self, position: &LogPosition) -> bool {
+        position.config_version > self.state.deployment().version
+            || position.upstreams_at > self.upstreams_at.get()
+            || position.orders_at > self.orders_at()
     }
 
     /// Handles the state that another router published by gossip.
-    pub(crate) fn heard(&self, mark: &LogPosition) {
+    pub(crate) fn receive_position(&self, position: &LogPosition) {
         if !self.needs_refresh() {
-            self.confirm(mark, self.clock.now_ms());
+            self.confirm(position, self.clock.now_ms());
         }
     }
 
     /// Confirms the state of this router by that of another one at `as_of_ms`, as far as the other
     /// has nothing newer.
-    fn confirm(&self, mark: &LogPosition, as_of_ms: u64) {
+    fn confirm(&self, position: &LogPosition, as_of_ms: u64) {
         let at = |age_ms: u32| as_of_ms.saturating_sub(age_ms.into());
-        let has_orders = mark.orders_at == self.orders_at();
-        if has_orders && mark.config_version == self.state.deployment().version {
-            self.confirm_config(at(mark.config_age_ms));
+        let has_orders = position.orders_at == self.orders_at();
+        if has_orders && position.config_version == self.state.deployment().version {
+            self.confirm_config(at(position.config_age_ms));
         }
-        if mark.upstreams_at == self.upstreams_at.get() {
-            self.confirm_upstreams(at(mark.upstreams_age_ms));
+        if position.upstreams_at == self.upstreams_at.get() {
+            self.confirm_upstreams(at(position.upstreams_age_ms));
         }
     }
 
     /// Returns the state that the requester lacks.
-    pub(crate) fn give(&self, ask: &LogSyncRequest) -> LogSyncReply {
-        let has_newer = self.state.deployment().version > ask.config_version;
-        let missed = self.changes.borrow().since(ask.upstreams_at);
-        if missed.is_none() && !ask.takes_all {
-            return self.give_config_only(ask, has_newer);
+    pub(crate) fn reply_to(&self, request: &LogSyncRequest) -> LogSyncReply {
+        let has_newer = self.state.deployment().version > request.config_version;
+        let missed = self.changes.borrow().since(request.upstreams_at);
+        if missed.is_none() && !request.takes_all {
+            return self.reply_config_only(request, has_newer);
         }
-        let mut give = LogSyncReply {
+        let mut reply = LogSyncReply {
             config: self.packed_config(has_newer),
             mark: Some(self.position()),
-            evacuated: self.evacuated(ask),
+            evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         };
         let Some(changes) = missed else {
-            give.all_upstreams = self.packed_upstreams();
-            if give.all_upstreams.is_empty() {
-                return self.give_config_only(ask, has_newer);
+            reply.all_upstreams = self.packed_upstreams();
+            if reply.all_upstreams.is_empty() {
+                return self.reply_config_only(request, has_newer);
             }
-            return give;
+            return reply;
         };
         if !changes.is_empty() {
-            give.changes = pack(&changes);
-            if give.changes.is_empty() {
-                return self.give_config_only(ask, has_newer);
+            reply.changes = pack(&changes);
+            if reply.changes.is_empty() {
+                return self.reply_config_only(request, has_newer);
             }
         }
-        give
+        reply
     }
 
     /// Returns the answer for a requester that must read the upstreams from the log. It reports no
@@ -94,16 +94,16 @@
     /// keeps only the changes since its own read, so those that read earlier would be sent all
     /// upstreams again and again by those that read later, over links that callers need. The log
     /// sends them the few changes that they lack.
-    fn give_config_only(&self, ask: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
-        let mark = LogPosition {
-            upstreams_at: ask.upstreams_at,
+    fn reply_config_only(&self, request: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
+        let position = LogPosition {
+            upstreams_at: request.upstreams_at,
             upstreams_age_ms: NOT_SENT_MS,
             ..self.position()
         };
         LogSyncReply {
             config: self.packed_config(has_newer),
-            mark: Some(mark),
-            evacuated: self.evacuated(ask),
+            mark: Some(position),
+            evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         }
     }
@@ -116,9 +116,9 @@
         }
     }
 
-    fn evacuated(&self, ask: &LogSyncRequest) -> Vec<String> {
+    fn evacuated(&self, request: &LogSyncRequest) -> Vec<String> {
         let evacuations = self.state.evacuations();
-        if evacuations.at() <= ask.orders_at {
+        if evacuations.offset() <= request.orders_at {
             return Vec::new();
         }
         evacuations.names().map(ToString::to_string).collect()
@@ -151,34 +151,34 @@
     }
 
     /// Applies the answer of another router to a request sent at `asked_ms`.
-    pub(crate) fn take(&self, give: LogSyncReply, source: &str, asked_ms: u64) {
+    pub(crate) fn apply_reply(&self, reply: LogSyncReply, source: &str, asked_ms: u64) {
         self.check_clock();
-        let mark = give.mark.unwrap_or_default();
-        if !give.config.is_empty() {
-            self.configure_packed(&give.config, source);
+        let position = reply.mark.unwrap_or_default();
+        if !reply.config.is_empty() {
+            self.configure_packed(&reply.config, source);
         }
-        if mark.orders_at > self.orders_at() {
-            let evacuated = give.evacuated.iter().map(|name| name.as_str().into());
-            self.replace_evacuated(mark.orders_at, evacuated.collect(), source);
+        if position.orders_at > self.orders_at() {
+            let evacuated = reply.evacuated.iter().map(|name| name.as_str().into());
+            self.replace_evacuated(position.orders_at, evacuated.collect(), source);
         }
-        if mark.upstreams_at > self.upstreams_at.get() {
-            if !self.apply_upstreams(give, mark.upstreams_at, source) {
+        if position.upstreams_at > self.upstreams_at.get() {
+            if !self.apply_upstreams(reply, position.upstreams_at, source) {
                 return;
             }
-        } else if mark.upstreams_age_ms == NOT_SENT_MS {
+        } else if position.upstreams_age_ms == NOT_SENT_MS {
             self.request_read();
         }
-        self.confirm(&mark, asked_ms);
+        self.confirm(&position, asked_ms);
         self.suspend.record_refresh(asked_ms);
     }
 
     /// Applies the upstreams of an answer, and returns whether they could be decoded.
-    fn apply_upstreams(&self, give: LogSyncReply, at: u64, source: &str) -> bool {
-        let is_all = !give.all_upstreams.is_empty();
+    fn apply_upstreams(&self, reply: LogSyncReply, at: u64, source: &str) -> bool {
+        let is_all = !reply.all_upstreams.is_empty();
         let packed = if is_all {
-            &give.all_upstreams
+            &reply.all_upstreams
         } else {
-            &give.changes
+            &reply.changes
         };
         let changes = match unpack(packed) {
             Ok(changes) => changes,
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -2,24 +2,24 @@
 //! another router.
 //!
 //! A request passes through the modules in this order: `callers` accepts the connection, `request`
-//! validates it and resolves its route and account, `gate` queues it until its service has free
+//! validates it and resolves its route and account, `admission_queue` queues it until its service has free
 //! capacity, `attempts` picks upstreams until one answers, `call` sends the request over a
-//! connection from `link`, and `answer` forwards the answer and resumes a stream that breaks off.
+//! connection from `connection`, and `answer` forwards the answer and resumes a stream that breaks off.
 //! [`routes`], [`upstreams`] and `state` hold the state that these modules read; a [`dialect`]
 //! maps header names.
 
+pub(crate) mod admission_queue;
 pub(crate) mod answer;
 pub(crate) mod attempts;
 pub(crate) mod call;
 pub(crate) mod callers;
 mod changes;
+pub(crate) mod connection;
 pub(crate) mod cursor;
 pub mod dialect;
 pub mod evacuations;
 pub mod events;
-pub(crate) mod gate;
 pub(crate) mod health;
-pub(crate) mod link;
 pub(crate) mod log_replica;
 pub(crate) mod peers;
 pub(crate) mod refusal;
@@ -63,9 +63,9 @@
 use crate::fleet::in_flight::{self, REPORT_INTERVAL_MS};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::front::Drain;
+use crate::path::admission_queue::AdmissionQueues;
+use crate::path::connection::ConnectionPool;
 use crate::path::dialect::Records;
-use crate::path::gate::AdmissionQueues;
-use crate::path::link::Links;
 use crate::path::log_replica::LogReplica;
 use crate::path::router_state::RouterState;
 use crate::stats;
@@ -80,7 +80,7 @@
 
 /// Query of a caller for entry addresses.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Entry<'a> {
+pub(crate) struct EntryQuery<'a> {
     /// Host name of the requests that the caller will send.
     pub(crate) name: Option<&'a str>,
     /// The caller's region.
@@ -88,11 +88,11 @@
 }
 
 /// State shared by the tasks of the request path.
-pub(crate) struct Path<D> {
+pub(crate) struct RequestPath<D> {
     pub(crate) state: Rc<RouterState>,
     pub(crate) replica: LogReplica<D>,
     pub(crate) queues: Rc<AdmissionQueues>,
-    pub(crate) links: Links,
+    pub(crate) connections: ConnectionPool,
     pub(crate) clock: Clock,
     pub(crate) drain: Drain,
     pub(crate) events: Events,
@@ -101,7 +101,7 @@
     pub(crate) host: Name,
 }
 
-impl<D> Path<D> {
+impl<D> RequestPath<D> {
     /// Number of live routers, which share the limits of the fleet.
     pub(crate) fn routers(&self) -> usize {
         let fleet = self.fleet.borrow();
@@ -141,7 +141,7 @@
     /// If routes of the host name are bound to regions, only routers in the caller's region or in a
     /// region that all of these routes allow are returned: at any other router the request would
     /// already be outside its allowed regions before a route is applied.
-    pub(crate) fn entry_addrs(&self, entry: &Entry<'_>, max: usize) -> Vec<Name> {
+    pub(crate) fn entry_addrs(&self, entry: &EntryQuery<'_>, max: usize) -> Vec<Name> {
         let fleet = self.fleet.borrow();
         let deployment = self.state.deployment();
         let allowed_regions = entry
@@ -158,7 +158,7 @@
     }
 
     /// Returns why this router should not receive callers' connections, or `None` if it is ready.
-    pub(crate) fn unready(&self) -> Option<&'static str> {
+    pub(crate) fn unready_reason(&self) -> Option<&'static str> {
         if self.drain.is_stopping() {
             return Some("a planned stop is under way");
         }
@@ -173,13 +173,13 @@
 }
 
 /// Periodically publishes the load of this router and runs the maintenance of its state.
-pub(crate) async fn tend<D: Records>(path: Rc<Path<D>>) {
+pub(crate) async fn run_maintenance<D: Records>(path: Rc<RequestPath<D>>) {
     let mut publishes = 0_u32;
     loop {
         compio::time::sleep(PUBLISH_INTERVAL).await;
-        let wishes = path.queues.refresh(&path.state);
+        let demands = path.queues.refresh(&path.state);
         path.state
-            .publish_in_flight(wishes, path.replica.position());
+            .publish_in_flight(demands, path.replica.position());
         publishes = publishes.wrapping_add(1);
         path.replica.check_clock();
         path.replica.remove_missing();
@@ -187,7 +187,7 @@
         path.state.eject_failing(path.clock.now_ms());
         path.assign_cold();
         if publishes.is_multiple_of(PUBLISHES_PER_SWEEP) {
-            path.links.sweep(|id| path.state.has_upstream(id));
+            path.connections.sweep(|id| path.state.has_upstream(id));
             path.state.sweep();
             stats::upstreams_known(path.state.upstream_count());
         }
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/news_fleet_tests.rs
@@ -77,18 +77,18 @@
         let readers = self.hosts[..READERS].iter().filter(|h| !h.is_dead);
         for reader in readers {
             let replica = &reader.router.replica;
-            replica.read_orders(replica.orders_at(), orders.to_vec(), now_ms, now_ms);
+            replica.apply_orders(replica.orders_at(), orders.to_vec(), now_ms, now_ms);
         }
     }
 
     /// One router publishes its position; those with older state send it a request, one at a time.
     fn publish(&mut self, from: usize) {
-        let mark = self.hosts[from].router.replica.position();
+        let position = self.hosts[from].router.replica.position();
         let fanout = FANOUT.min(self.hosts.len());
         for to in index::sample(&mut self.rng, self.hosts.len(), fanout) {
             let host = &self.hosts[to];
             let is_free = to != from && !host.is_dead && host.pending.is_none();
-            if is_free && host.router.replica.is_behind(&mark) {
+            if is_free && host.router.replica.is_behind(&position) {
                 self.ask(to, from);
             }
         }
@@ -126,14 +126,14 @@
             return;
         }
         let replica = &self.hosts[at].router.replica;
-        let ask = LogSyncRequest {
+        let request = LogSyncRequest {
             config_version: self.hosts[at].router.state.deployment().version,
             upstreams_at: replica.upstreams_at(),
             takes_all: false,
             orders_at: replica.orders_at(),
         };
-        let give = self.hosts[peer].router.replica.give(&ask);
-        replica.take(give, "a peer", asked_ms);
+        let reply = self.hosts[peer].router.replica.reply_to(&request);
+        replica.apply_reply(reply, "a peer", asked_ms);
     }
 
     fn tick(&mut self) {
@@ -196,7 +196,7 @@
         spread_ms.is_some_and(|ms| ms <= SPREAD_BOUND_MS),
         "{spread_ms:?}"
     );
-    let evacuated = |h: &Host| h.router.state.evacuations().holds("dc-2");
+    let evacuated = |h: &Host| h.router.state.evacuations().contains("dc-2");
     assert!(fleet.hosts.iter().all(|h| h.is_dead || evacuated(h)));
 }
 
--- a/src/path/news_tests.rs
+++ b/src/path/news_tests.rs
@@ -82,7 +82,7 @@
 
     /// Requests the state of `other` as routers do.
     fn learn_from(&self, other: &Self) {
-        let ask = LogSyncRequest {
+        let request = LogSyncRequest {
             config_version: self.state.deployment().version,
             upstreams_at: self.replica.upstreams_at(),
             takes_all: true,
@@ -90,7 +90,7 @@
         };
         let asked_ms = self.replica.now_ms();
         self.replica
-            .take(other.replica.give(&ask), "other", asked_ms);
+            .apply_reply(other.replica.reply_to(&request), "other", asked_ms);
     }
 }
 
@@ -148,7 +148,7 @@
         Router::with_clock(clock_at(500)),
         Router::with_clock(clock_at(900)),
     );
-    early.replica.heard(&late.replica.position());
+    early.replica.receive_position(&late.replica.position());
     early.learn_from(&late);
     assert_eq!(early.replica.config_confirmed_ms(), 0);
     assert_eq!(early.replica.upstreams_confirmed_ms(), 0);
@@ -233,15 +233,15 @@
     later
         .replica
         .configure(Bytes::from_static(b"7"), "the store");
-    let ask = LogSyncRequest {
+    let request = LogSyncRequest {
         config_version: 0,
         upstreams_at: 4,
         takes_all: false,
         orders_at: 0,
     };
-    let give = later.replica.give(&ask);
-    assert!(give.changes.is_empty() && give.all_upstreams.is_empty());
-    earlier.replica.take(give, "later", 1_000);
+    let reply = later.replica.reply_to(&request);
+    assert!(reply.changes.is_empty() && reply.all_upstreams.is_empty());
+    earlier.replica.apply_reply(reply, "later", 1_000);
     assert_eq!(earlier.state.deployment().version, 7);
     assert_eq!(earlier.replica.upstreams_at(), 4);
     assert_eq!(earlier.replica.upstreams_confirmed_ms(), 0, "not confirmed");
@@ -259,13 +259,13 @@
 fn late_record_does_not_restore_a_withdrawn_evacuation() {
     let (reader, late) = (Router::new(), Router::new());
     let evacuate = || Order::Evacuate("north".into());
-    reader.replica.read_orders(0, vec![evacuate()], 1, 1);
-    assert!(reader.state.evacuations().holds("north"));
+    reader.replica.apply_orders(0, vec![evacuate()], 1, 1);
+    assert!(reader.state.evacuations().contains("north"));
     let readmit = vec![Order::Readmit("north".into())];
-    reader.replica.read_orders(1, readmit, 2, 2);
+    reader.replica.apply_orders(1, readmit, 2, 2);
     late.learn_from(&reader);
-    late.replica.read_orders(0, vec![evacuate()], 3, 3);
-    assert!(!late.state.evacuations().holds("north"));
+    late.replica.apply_orders(0, vec![evacuate()], 3, 3);
+    assert!(!late.state.evacuations().contains("north"));
     assert_eq!(late.replica.orders_at(), 2);
 }
 
@@ -279,9 +279,9 @@
         Order::Other,
         Order::Evacuate("north".into()),
     ];
-    reader.replica.read_all_orders(orders, 9, 1);
+    reader.replica.apply_order_snapshot(orders, 9, 1);
     starter.learn_from(&reader);
     assert_eq!(starter.state.deployment().version, 7);
-    assert!(starter.state.evacuations().holds("north"));
+    assert!(starter.state.evacuations().contains("north"));
     assert_eq!(starter.replica.orders_at(), 9);
 }
--- a/src/path/news_world_tests.rs
+++ b/src/path/news_world_tests.rs
@@ -29,7 +29,7 @@
     upstreams: Option<(u64, Answer<Record>)>,
     peer: Option<(u64, LogSyncReply)>,
     /// Positions published by other routers while this one is suspended.
-    marks: VecDeque<LogPosition>,
+    positions: VecDeque<LogPosition>,
     pub(super) is_rejected: bool,
     pub(super) suspended_until_ms: u64,
     started_ms: u64,
@@ -75,11 +75,11 @@
         let now_ms = self.now_ms();
         let host = &mut self.hosts[at];
         if host.orders.is_none() {
-            let ask = host.order_cursor.ask(host.router.replica.orders_at());
+            let ask = host.order_cursor.next_read(host.router.replica.orders_at());
             host.orders = Some((now_ms, self.store.answer_orders(ask)));
         }
         if host.upstreams.is_none() {
-            let ask = host.cursor.ask(host.router.replica.upstreams_at());
+            let ask = host.cursor.next_read(host.router.replica.upstreams_at());
             host.upstreams = Some((now_ms, self.store.answer(ask)));
         }
     }
@@ -91,29 +91,31 @@
         let host = &mut self.hosts[at];
         match host.orders.take() {
             Some((asked_ms, Answer::All(orders, end))) => {
-                host.order_cursor.took_all(end);
-                host.router.replica.read_all_orders(orders, end, asked_ms);
+                host.order_cursor.reset_to(end);
+                host.router
+                    .replica
+                    .apply_order_snapshot(orders, end, asked_ms);
             }
             Some((asked_ms, Answer::Changes(from, orders))) => {
-                host.order_cursor.took(from, orders.len());
+                host.order_cursor.advance(from, orders.len());
                 let replica = &host.router.replica;
-                replica.read_orders(from, orders, asked_ms, asked_ms);
+                replica.apply_orders(from, orders, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.order_cursor.expired(),
+            Some((_, Answer::Expired)) => host.order_cursor.set_expired(),
             None => {}
         }
         match host.upstreams.take() {
             Some((asked_ms, Answer::All(records, end))) => {
-                host.cursor.took_all(end);
-                host.router.replica.read_all(records, end, asked_ms);
+                host.cursor.reset_to(end);
+                host.router.replica.apply_snapshot(records, end, asked_ms);
             }
             Some((asked_ms, Answer::Changes(from, records))) => {
-                host.cursor.took(from, records.len());
+                host.cursor.advance(from, records.len());
                 host.router
                     .replica
-                    .read_on(from, records, asked_ms, asked_ms);
+                    .apply_records(from, records, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.cursor.expired(),
+            Some((_, Answer::Expired)) => host.cursor.set_expired(),
             None => {}
         }
     }
@@ -127,14 +129,14 @@
             return;
         }
         let router = &self.hosts[at].router;
-        let ask = LogSyncRequest {
+        let request = LogSyncRequest {
             config_version: router.state.deployment().version,
             upstreams_at: router.replica.upstreams_at(),
             takes_all: true,
             orders_at: router.replica.orders_at(),
         };
-        let give = self.hosts[peer].router.replica.give(&ask);
-        self.hosts[at].peer = Some((self.now_ms(), give));
+        let reply = self.hosts[peer].router.replica.reply_to(&request);
+        self.hosts[at].peer = Some((self.now_ms(), reply));
     }
 
     pub(super) fn receive_peer_answer(&mut self, at: usize) {
@@ -142,8 +144,8 @@
             return;
         }
         let host = &mut self.hosts[at];
-        if let Some((asked_ms, give)) = host.peer.take() {
-            host.router.replica.take(give, "a peer", asked_ms);
+        if let Some((asked_ms, reply)) = host.peer.take() {
+            host.router.replica.apply_reply(reply, "a peer", asked_ms);
         }
     }
 
@@ -153,22 +155,23 @@
         self.now_ms.fetch_add(TICK_MS, Ordering::Relaxed);
         let now_ms = self.now_ms();
         self.store.tick(now_ms);
-        let marks: Vec<Option<LogPosition>> = (0..ROUTERS)
+        let positions: Vec<Option<LogPosition>> = (0..ROUTERS)
             .map(|at| (!self.is_suspended(at)).then(|| self.hosts[at].router.replica.position()))
             .collect();
         for at in 0..ROUTERS {
-            let others = marks.iter().enumerate().filter(|(from, _)| *from != at);
-            let heard: Vec<(usize, LogPosition)> = others
-                .filter_map(|(from, mark)| Some((from, (*mark)?)))
+            let others = positions.iter().enumerate().filter(|(from, _)| *from != at);
+            let received: Vec<(usize, LogPosition)> = others
+                .filter_map(|(from, position)| Some((from, (*position)?)))
                 .collect();
             let host = &mut self.hosts[at];
-            host.marks.extend(heard.iter().map(|(_, mark)| *mark));
+            host.positions
+                .extend(received.iter().map(|(_, position)| *position));
             if self.is_suspended(at) {
                 continue;
             }
             let host = &mut self.hosts[at];
-            for mark in std::mem::take(&mut host.marks) {
-                host.router.replica.heard(&mark);
+            for position in std::mem::take(&mut host.positions) {
+                host.router.replica.receive_position(&position);
             }
             host.router.replica.check_clock();
             host.router.replica.remove_missing();
@@ -177,7 +180,9 @@
             let config_is_stale = replica.config_fresh().is_stale(now_ms, schedules.config);
             let upstreams_fresh = replica.upstreams_fresh();
             let is_stale = config_is_stale || upstreams_fresh.is_stale(now_ms, schedules.upstreams);
-            let ahead = heard.iter().find(|(_, m)| host.router.replica.is_behind(m));
+            let ahead = received
+                .iter()
+                .find(|(_, m)| host.router.replica.is_behind(m));
             if let Some((peer, _)) = ahead {
                 self.send_peer_request(at, *peer);
                 self.receive_peer_answer(at);
@@ -329,7 +334,7 @@
         orders: None,
         upstreams: None,
         peer: None,
-        marks: VecDeque::new(),
+        positions: VecDeque::new(),
         is_rejected: false,
         suspended_until_ms: 0,
         started_ms: now_ms.load(Ordering::Relaxed),
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -12,7 +12,7 @@
 use crate::fleet::gossip::GossipCommand;
 use crate::fleet::member::Member;
 use crate::front::body::Answer;
-use crate::path::Path;
+use crate::path::RequestPath;
 use crate::path::dialect::{Dialect, Records};
 use crate::peers::server::{self, PeerHandler};
 use crate::peers::{LOG_SYNC, MEMBERS, PeerClient};
@@ -36,24 +36,24 @@
 pub(crate) async fn bind<D: Dialect + Records>(
     addr: SocketAddr,
     key: Name,
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
 ) -> io::Result<SocketAddr> {
     let drain = path.drain.clone();
     server::bind(addr, key, drain, path).await
 }
 
-impl<D: Dialect + Records> PeerHandler for Rc<Path<D>> {
+impl<D: Dialect + Records> PeerHandler for Rc<RequestPath<D>> {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         match path {
             LOG_SYNC => {
-                server::reply(LOG_SYNC, body, async |ask: LogSyncRequest| {
-                    self.replica.give(&ask)
+                server::reply(LOG_SYNC, body, async |request: LogSyncRequest| {
+                    self.replica.reply_to(&request)
                 })
                 .await
             }
             MEMBERS => {
-                server::reply(MEMBERS, body, async |ask| {
-                    server::members(&self.gossip, ask).await
+                server::reply(MEMBERS, body, async |request| {
+                    server::members(&self.gossip, request).await
                 })
                 .await
             }
@@ -63,16 +63,19 @@
 }
 
 /// Handles the state published by other routers, and requests newer state from them.
-pub(crate) async fn follow<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
+pub(crate) async fn follow_positions<D: Dialect + Records>(
+    path: Rc<RequestPath<D>>,
+    client: PeerClient,
+) {
     let mut peer_positions = path.gossip.peer_positions();
     while peer_positions.changed().await.is_ok() {
-        let heard = peer_positions.borrow_and_update().clone();
-        path.replica.heard(&heard.position);
-        if path.replica.is_behind(&heard.position)
+        let received = peer_positions.borrow_and_update().clone();
+        path.replica.receive_position(&received.position);
+        if path.replica.is_behind(&received.position)
             && !(waits_for_log(&path) || path.replica.awaits_log())
-            && let Some(addr) = path.peer_addr(&heard.host)
+            && let Some(addr) = path.peer_addr(&received.host)
         {
-            ask(&path, &client, &addr).await;
+            request_state(&path, &client, &addr).await;
         }
     }
 }
@@ -85,35 +88,38 @@
 /// of it, the peers that are ready first, and the few seeds that all routers know, are overloaded
 /// for long, and so are their callers.
 pub(crate) async fn join<D: Dialect + Records>(
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
     client: PeerClient,
     seeds: Vec<Name>,
 ) {
-    let mut knows_members = false;
-    while path.unready().is_some() && !path.drain.is_stopping() {
+    let mut has_members = false;
+    while path.unready_reason().is_some() && !path.drain.is_stopping() {
         compio::time::sleep(START_PAUSE).await;
-        if path.unready().is_none() || waits_for_log(&path) {
+        if path.unready_reason().is_none() || waits_for_log(&path) {
             continue;
         }
         let known = live_peers(&path);
         let Some(addr) = known.iter().chain(&seeds).choose(&mut rand::rng()) else {
             continue;
         };
-        ask(&path, &client, addr).await;
-        if !knows_members {
-            knows_members = ask_members(&path, &client, addr).await;
+        request_state(&path, &client, addr).await;
+        if !has_members {
+            has_members = request_members(&path, &client, addr).await;
         }
     }
     for pause in MEMBER_REQUEST_DELAYS {
         compio::time::sleep(pause).await;
         if let Some(addr) = live_peers(&path).first() {
-            ask_members(&path, &client, addr).await;
+            request_members(&path, &client, addr).await;
         }
     }
 }
 
 /// Requests the state from peers after each suspension of this router.
-pub(crate) async fn ask_after_suspend<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
+pub(crate) async fn refresh_after_suspend<D: Dialect + Records>(
+    path: Rc<RequestPath<D>>,
+    client: PeerClient,
+) {
     let resumed = path.replica.suspend().resumed();
     loop {
         resumed.notified().await;
@@ -121,18 +127,18 @@
             if !path.replica.needs_refresh() {
                 break;
             }
-            ask(&path, &client, &addr).await;
+            request_state(&path, &client, &addr).await;
         }
     }
 }
 
 /// Whether this router has just started and should wait for its read of the log.
-fn waits_for_log<D: Dialect + Records>(path: &Path<D>) -> bool {
+fn waits_for_log<D: Dialect + Records>(path: &RequestPath<D>) -> bool {
     let has_started = path.clock.now_ms() >= LOG_ONLY_MS;
-    path.unready().is_some() && !has_started && !path.replica.log_fails()
+    path.unready_reason().is_some() && !has_started && !path.replica.log_fails()
 }
 
-async fn ask_members<D>(path: &Path<D>, client: &PeerClient, addr: &Name) -> bool {
+async fn request_members<D>(path: &RequestPath<D>, client: &PeerClient, addr: &Name) -> bool {
     match client
         .ask::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
         .await
@@ -149,21 +155,28 @@
     }
 }
 
-async fn ask<D: Dialect + Records>(path: &Path<D>, client: &PeerClient, addr: &Name) {
-    let ask = LogSyncRequest {
+async fn request_state<D: Dialect + Records>(
+    path: &RequestPath<D>,
+    client: &PeerClient,
+    addr: &Name,
+) {
+    let request = LogSyncRequest {
         config_version: path.state.deployment().version,
         upstreams_at: path.replica.upstreams_at(),
-        takes_all: path.replica.log_fails() || path.unready().is_some(),
+        takes_all: path.replica.log_fails() || path.unready_reason().is_some(),
         orders_at: path.replica.orders_at(),
     };
     let asked_ms = path.clock.now_ms();
-    match client.ask::<_, LogSyncReply>(addr, LOG_SYNC, &ask).await {
-        Ok(give) => path.replica.take(give, addr, asked_ms),
+    match client
+        .ask::<_, LogSyncReply>(addr, LOG_SYNC, &request)
+        .await
+    {
+        Ok(reply) => path.replica.apply_reply(reply, addr, asked_ms),
         Err(e) => log::debug!("{addr}: request for log state failed: {e}"),
     }
 }
 
-fn live_peers<D>(path: &Path<D>) -> Vec<Name> {
+fn live_peers<D>(path: &RequestPath<D>) -> Vec<Name> {
     let fleet = path.fleet.borrow();
     let peers = fleet.members.iter().filter(|m| m.host != path.host);
     let live = peers.filter(|m| m.takes_work());
--- a/src/path/refusal.rs
+++ b/src/path/refusal.rs
@@ -75,7 +75,7 @@
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if let Some(id) = request_id {
-            D::mark_own(headers, id);
+            D::set_request_id(headers, id);
         }
         response
     }
--- a/src/path/request.rs
+++ b/src/path/request.rs
@@ -16,12 +16,12 @@
 use crate::front::body::Answer;
 use crate::front::check::{self, RequestError};
 use crate::front::drain::Phase;
+use crate::path::admission_queue::Permit;
 use crate::path::attempts::{Attempts, RequestContext};
 use crate::path::dialect::{CallerHead, Dialect, Records};
-use crate::path::gate::Permit;
 use crate::path::refusal::Refused;
 use crate::path::routes::{Account, CallerLimits, Deployment, Route};
-use crate::path::{Path, answer};
+use crate::path::{RequestPath, answer};
 use crate::stats::{self, Tally};
 use crate::util::Name;
 
@@ -43,7 +43,7 @@
 
 /// Handles one request.
 pub(crate) async fn handle<D: Dialect + Records>(
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
     request: Request<Incoming>,
 ) -> Response<Answer> {
     let (parts, body) = request.into_parts();
@@ -67,7 +67,7 @@
 }
 
 async fn admit<D: Dialect + Records>(
-    path: Rc<Path<D>>,
+    path: Rc<RequestPath<D>>,
     parts: Parts,
     head: CallerHead,
     mut body: Incoming,
@@ -117,7 +117,7 @@
 
 /// Waits until the service has capacity for the request.
 async fn wait_for_permit<D>(
-    path: &Path<D>,
+    path: &RequestPath<D>,
     head: &CallerHead,
     route: &Route,
     service: &Name,
@@ -153,7 +153,7 @@
 
 /// Waits until the state was refreshed after a suspension. If neither the log nor a peer answers,
 /// the router continues with its old state.
-async fn refresh_after_suspend<D: Records>(path: &Path<D>) {
+async fn refresh_after_suspend<D: Records>(path: &RequestPath<D>) {
     if !path.replica.needs_refresh() {
         return;
     }
@@ -167,7 +167,7 @@
 /// If these requests were refused instead, all callers of a restarting fleet would retry together
 /// some hundred milliseconds later, when their objectives are missed and some have no retry left.
 /// Nothing is held while the log is known to fail.
-async fn wait_for_first_load<D: Records>(path: &Path<D>, head: &CallerHead, caller_ms: u64) {
+async fn wait_for_first_load<D: Records>(path: &RequestPath<D>, head: &CallerHead, caller_ms: u64) {
     if path.replica.is_loaded() || path.replica.log_fails() {
         return;
     }
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -137,7 +137,7 @@
         self.deployment.borrow().clone()
     }
 
-    pub(crate) fn limit_retries(&self, limit: RetryLimit) {
+    pub(crate) fn set_retry_limit(&self, limit: RetryLimit) {
         self.retry_limit.set(limit);
     }
 
@@ -146,7 +146,7 @@
         self.decisions.get()
     }
 
-    pub(crate) fn decide_by(&self, decisions: Decisions) {
+    pub(crate) fn set_decisions(&self, decisions: Decisions) {
         self.decisions.set(decisions);
     }
 
@@ -278,7 +278,7 @@
 
     /// Publishes the requests running at each upstream, and the outcomes of calls since the last
     /// publish.
-    pub(crate) fn publish_in_flight(&self, wishes: Vec<ServiceDemand>, mark: LogPosition) {
+    pub(crate) fn publish_in_flight(&self, demands: Vec<ServiceDemand>, position: LogPosition) {
         let mut flights: HashMap<Name, InFlightCount> = HashMap::new();
         for (id, running) in self.running.borrow().iter() {
             flights.entry(id.clone()).or_default().running = *running;
@@ -294,7 +294,7 @@
         });
         let flights = flights.collect();
         self.gossip
-            .publish(Publish::InFlight(flights, wishes, mark));
+            .publish(Publish::InFlight(flights, demands, position));
     }
 
     /// Ejects upstreams whose failure share is too high, by the outcomes that all routers observed.
--- a/src/path/router_state/pool.rs
+++ b/src/path/router_state/pool.rs
@@ -55,8 +55,9 @@
         let own = |u: &Upstream| running.get(&u.id).copied().unwrap_or(0);
         let evacuations = self.evacuations.borrow();
         let cold_starts = self.cold_starts.borrow();
-        let is_withheld =
-            |u: &Upstream| evacuations.holds(&u.data_center) || !cold_starts.admits(&u.id, now_ms);
+        let is_withheld = |u: &Upstream| {
+            evacuations.contains(&u.data_center) || !cold_starts.admits(&u.id, now_ms)
+        };
         // Evacuations, allowed regions and the limits of cold upstreams apply even if no other
         // upstream is left. The request is then refused at once.
         let is_closed = |u: &Upstream| {
@@ -92,7 +93,7 @@
             excluded: is_excluded(u, Relaxation::None),
             withheld: is_withheld(u) && !u.draining,
             has_parts: health.is_cache_source(u, now_ms)
-                && !evacuations.holds(&u.data_center)
+                && !evacuations.contains(&u.data_center)
                 && joined
                     .get(&u.id)
                     .is_none_or(|at| at + CACHE_WARMUP_MS < now_ms),
@@ -126,7 +127,7 @@
         let cold_starts = self.cold_starts.borrow();
         let takes_work = |u: &&Rc<Upstream>| {
             let is_cold = cold_starts.is_cold(&u.id, now_ms);
-            let is_closed = u.draining || is_cold || evacuations.holds(&u.data_center);
+            let is_closed = u.draining || is_cold || evacuations.contains(&u.data_center);
             !(is_closed || health.is_replaced(u) || is_unavailable(u))
         };
         let open = upstreams.pool(service).iter().filter(takes_work);
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::gossip::GossipCommand;
 use crate::front::drain::Phase;
-use crate::path::Path;
+use crate::path::RequestPath;
 
 /// Some callers cache an entry answer for this multiple of its lifetime.
 const ENTRY_TTL_FACTOR: u32 = 3;
@@ -18,7 +18,7 @@
 const GRACE_SHARE: f64 = 0.95;
 
 /// Stops the router, and returns when the process may exit.
-pub(crate) async fn run<D>(path: &Rc<Path<D>>, entry_ttl: Duration, grace: Duration) {
+pub(crate) async fn run<D>(path: &Rc<RequestPath<D>>, entry_ttl: Duration, grace: Duration) {
     let started = Instant::now();
     let limit = grace.mul_f64(GRACE_SHARE);
     path.drain.enter(Phase::Leaving);
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -18,12 +18,12 @@
 use crate::front::{Drain, pages};
 use crate::log::view::ConfigView;
 use crate::logs;
-use crate::path::gate::AdmissionQueues;
-use crate::path::link::Links;
+use crate::path::admission_queue::AdmissionQueues;
+use crate::path::connection::ConnectionPool;
 use crate::path::log_replica::{LogReplica, ReadSchedules};
 use crate::path::regions::Regions;
 use crate::path::router_state::{RetryLimit, RouterState};
-use crate::path::{Path, callers, peers, stop, tend};
+use crate::path::{RequestPath, callers, peers, run_maintenance, stop};
 use crate::peers::{PeerClient, Probes, probes};
 use crate::platform::{Fleet, Headers, Pages, Store, follow_orders, follow_upstreams};
 use crate::router::{AddrSnafu, BindSnafu, Outputs, RouterError};
@@ -36,7 +36,7 @@
 /// A running router. Dropping the handle does not stop it.
 #[derive(Clone)]
 pub struct Routed {
-    path: Rc<Path<Headers>>,
+    path: Rc<RequestPath<Headers>>,
     fleet: Rc<Fleet>,
     started_with: Rc<Settings>,
     entry_ttl: Rc<Cell<Duration>>,
@@ -76,12 +76,12 @@
             probes.gossip.clone(),
         );
         let state = Rc::new(state);
-        state.decide_by(settings.decisions.unwrap_or(ALL_ON));
-        let path = Rc::new(Path {
+        state.set_decisions(settings.decisions.unwrap_or(ALL_ON));
+        let path = Rc::new(RequestPath {
             replica: LogReplica::new(state.clone(), clock, schedules(&policy)),
             state,
             queues: AdmissionQueues::open(clock),
-            links: Links::default(),
+            connections: ConnectionPool::default(),
             clock,
             drain: Drain::default(),
             events: events.clone(),
@@ -98,13 +98,13 @@
         bound.context(BindSnafu { field: "peer_addr" })?;
         let client = PeerClient::new(&policy.key, events);
         let seeds = seeds(&policy.seed_addrs, peer_addr);
-        compio::runtime::spawn(peers::follow(path.clone(), client.clone())).detach();
-        compio::runtime::spawn(peers::ask_after_suspend(path.clone(), client.clone())).detach();
+        compio::runtime::spawn(peers::follow_positions(path.clone(), client.clone())).detach();
+        compio::runtime::spawn(peers::refresh_after_suspend(path.clone(), client.clone())).detach();
         compio::runtime::spawn(peers::join(path.clone(), client, seeds)).detach();
         compio::runtime::spawn(follow_orders(open, path.clone())).detach();
         compio::runtime::spawn(follow_upstreams(open(), path.clone())).detach();
         compio::runtime::spawn(fleet.clone().follow()).detach();
-        compio::runtime::spawn(tend(path.clone())).detach();
+        compio::runtime::spawn(run_maintenance(path.clone())).detach();
         let entry_ttl = Duration::from_millis(policy.entry_ttl_ms.into());
         let entry_ttl = Rc::new(Cell::new(entry_ttl));
         let limits = settings.limits.unwrap_or_default();
@@ -123,10 +123,10 @@
     /// Takes changed settings. Addresses hold until the next start, which is logged.
     pub fn apply(&self, settings: &Settings) {
         let policy = settings.fleet.clone().unwrap_or_default();
-        self.path.state.limit_retries(retry_limit(&policy));
+        self.path.state.set_retry_limit(retry_limit(&policy));
         self.path.replica.set_schedules(schedules(&policy));
         let decisions = settings.decisions.unwrap_or(ALL_ON);
-        self.path.state.decide_by(decisions);
+        self.path.state.set_decisions(decisions);
         self.entry_ttl
             .set(Duration::from_millis(policy.entry_ttl_ms.into()));
         self.grace.set(Duration::from_secs_f64(policy.grace_s));
@@ -151,7 +151,7 @@
 async fn serve(
     listen: &Listen,
     limits: Limits,
-    path: &Rc<Path<Headers>>,
+    path: &Rc<RequestPath<Headers>>,
     entry_ttl: Rc<Cell<Duration>>,
 ) -> Result<(), RouterError> {
     let answers = Pages::new(path.clone(), entry_ttl);
