--- a/src/path/answer.rs
+++ b/src/path/answer.rs
@@ -122,7 +122,7 @@
     attempts: Attempts<D>,
     splitter: Splitter,
     tx: mpsc::Sender<io::Result<Bytes>>,
-    events_from: Option<u64>,
+    resume_after: Option<u64>,
     tally: Tally,
 }
 
@@ -136,12 +136,12 @@
 
 impl<D: Dialect + Records> StreamRelay<D> {
     fn new(attempts: Attempts<D>, tx: mpsc::Sender<io::Result<Bytes>>, tally: Tally) -> Self {
-        let events_from = attempts.context.head.resume_after;
+        let resume_after = attempts.context.head.resume_after;
         Self {
             attempts,
-            splitter: Splitter::after(events_from),
+            splitter: Splitter::after(resume_after),
             tx,
-            events_from,
+            resume_after,
             tally,
         }
     }
@@ -200,7 +200,7 @@
     /// Continues the stream at another upstream, after the last event that was forwarded.
     async fn resume(&mut self) -> Result<Reply, &'static str> {
         self.splitter.discard_partial();
-        let after = self.splitter.last_id().or(self.events_from);
+        let after = self.splitter.last_id().or(self.resume_after);
         match self.attempts.next(after).await {
             Ok(reply) if reply.parts.status.is_success() => {
                 self.attempts.emit(
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -22,8 +22,8 @@
 use crate::schema::settings::Decisions;
 use crate::util::{self, Name};
 
-/// Maximum number of upstreams tried for one request. Each attempt costs a round trip, and after this many
-/// rejections the pool is most likely full, so a quick refusal serves the caller better.
+/// Maximum number of upstreams tried for one request. Each attempt costs a round trip, and after
+/// this many rejections the pool is most likely full, so a quick refusal serves the caller better.
 const MAX_UPSTREAMS_TRIED: usize = 4;
 /// Minimum remaining time for an attempt. With less, the answer would arrive after the deadline.
 const MIN_REMAINING: Duration = Duration::from_millis(20);
@@ -224,8 +224,8 @@
 
     /// Returns the cause of a refusal if no upstream can be chosen.
     fn no_upstream_cause(&self) -> Cause {
-        let (state, share) = (&self.context.path.state, self.connection_share());
-        if state.has_full_upstream(&self.context.service, share.open) {
+        let (state, quota) = (&self.context.path.state, self.connection_quota());
+        if state.has_full_upstream(&self.context.service, quota.open) {
             Cause::Full
         } else {
             Cause::NoUpstream
@@ -259,7 +259,7 @@
         let client = UpstreamClient {
             state: &context.path.state,
             connections: &context.path.connections,
-            share: self.connection_share(),
+            quota: self.connection_quota(),
             clock: context.path.clock,
         };
         client.call::<D>(choice.upstream.clone(), call).await
@@ -278,10 +278,10 @@
     }
 
     /// Connections that this router may open to each upstream of the service.
-    fn connection_share(&self) -> ConnectionQuota {
+    fn connection_quota(&self) -> ConnectionQuota {
         let path = &self.context.path;
         path.state
-            .connections(&self.context.service, path.routers())
+            .connection_quota(&self.context.service, path.routers())
     }
 
     fn choose(&self) -> Option<Choice> {
@@ -291,13 +291,13 @@
             upstreams: &self.tried,
             may_repeat: self.runs > 0,
         };
-        let max_open = self.connection_share().open;
+        let max_open = self.connection_quota().open;
         let state = &context.path.state;
-        let account_homes = context
+        let account_regions = context
             .account
             .as_ref()
             .map_or(&None, |a| &a.allowed_regions);
-        let allowed_regions = [&context.route.allowed_regions, account_homes];
+        let allowed_regions = [&context.route.allowed_regions, account_regions];
         let (pool, candidates) =
             state.pool(&context.service, &tried, &allowed_regions, max_open, now_ms);
         let decisions = state.decisions();
--- a/src/path/beliefs_tests.rs
+++ b/src/path/beliefs_tests.rs
@@ -53,7 +53,7 @@
         may_repeat: false,
     };
     let (_, candidates) = state.pool("s", &tried, &[], u32::MAX, 1);
-    candidates.iter().filter(|s| !s.excluded).count()
+    candidates.iter().filter(|c| !c.excluded).count()
 }
 
 /// Demand exceeds the capacity of the pool, and upstreams answer late and reject requests. None may
@@ -130,7 +130,7 @@
     };
     let open = |allowed_regions: &[&AllowedRegions]| {
         let (_, candidates) = state.pool("s", &tried, allowed_regions, u32::MAX, 1);
-        candidates.iter().filter(|s| !s.excluded).count()
+        candidates.iter().filter(|c| !c.excluded).count()
     };
     assert_eq!(open(&[&home, &None]), 6);
     assert_eq!(open(&[&home, &abroad]), 0);
--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -58,7 +58,7 @@
     body: Incoming,
     connection: Connection,
     connections: ConnectionPool,
-    share: ConnectionQuota,
+    quota: ConnectionQuota,
     running: RunningGuard,
 }
 
@@ -73,7 +73,7 @@
 pub(crate) struct UpstreamClient<'a> {
     pub(crate) state: &'a Rc<RouterState>,
     pub(crate) connections: &'a ConnectionPool,
-    pub(crate) share: ConnectionQuota,
+    pub(crate) quota: ConnectionQuota,
     pub(crate) clock: Clock,
 }
 
@@ -144,7 +144,7 @@
             body,
             connection,
             connections: self.connections.clone(),
-            share: self.share,
+            quota: self.quota,
             running,
         })
     }
@@ -189,7 +189,7 @@
     ) -> Result<(Parts, Incoming, Connection), CallError> {
         let in_use = self.state.running(&upstream.id);
         self.connections
-            .close_excess(&upstream.id, self.share.open.saturating_sub(in_use));
+            .close_excess(&upstream.id, self.quota.open.saturating_sub(in_use));
         let opened = connection::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
         let connection = opened.map_err(|e| not_sent(e.to_string()))?;
         send_on(connection, call).await
@@ -206,7 +206,7 @@
         let read = compio::time::timeout(CONNECT_TIMEOUT, body.collect()).await;
         if matches!(read, Ok(Ok(_))) {
             self.connections
-                .put_back(&upstream.id, connection, &parts.headers, self.share);
+                .put_back(&upstream.id, connection, &parts.headers, self.quota);
         }
     }
 }
@@ -301,7 +301,7 @@
             mut body,
             connection,
             connections,
-            share,
+            quota,
             running,
         } = self;
         let read = compio::time::timeout(timeout, async {
@@ -318,7 +318,7 @@
         });
         let body = read.await.ok()??;
         drop(running);
-        connections.put_back(&upstream.id, connection, &parts.headers, share);
+        connections.put_back(&upstream.id, connection, &parts.headers, quota);
         Some(BufferedReply {
             upstream: upstream.id.clone(),
             parts,
@@ -345,7 +345,7 @@
             &self.upstream.id,
             self.connection,
             &self.parts.headers,
-            self.share,
+            self.quota,
         );
     }
 }
--- a/src/path/connection.rs
+++ b/src/path/connection.rs
@@ -79,7 +79,7 @@
         upstream: &Name,
         connection: Connection,
         answer: &HeaderMap,
-        share: ConnectionQuota,
+        quota: ConnectionQuota,
     ) {
         let now = Instant::now();
         let Some(timeout) = idle_timeout(answer) else {
@@ -90,7 +90,7 @@
         connections.retain(|idle_connection| {
             idle_connection.until > now && !idle_connection.sender.is_closed()
         });
-        if connections.len() < share.idle as usize {
+        if connections.len() < quota.idle as usize {
             let until = now + timeout.mul_f64(IDLE_SHARE);
             connections.push(IdleConnection {
                 sender: connection.sender,
--- a/src/path/cursor.rs
+++ b/src/path/cursor.rs
@@ -42,8 +42,8 @@
 }
 
 impl StreamCursor {
-    /// Returns the next request. Peers have sent everything up to offset `known_end`, which need not be
-    /// read again.
+    /// Returns the next request. Peers have sent everything up to offset `known_end`, which need
+    /// not be read again.
     ///
     /// Failure guarded against: records expire before they are read. A reader that keeps requesting
     /// them gets the same rejection forever, at the speed of the network.
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -2,11 +2,11 @@
 //! another router.
 //!
 //! A request passes through the modules in this order: `callers` accepts the connection, `request`
-//! validates it and resolves its route and account, `admission_queue` queues it until its service has free
-//! capacity, `attempts` picks upstreams until one answers, `call` sends the request over a
-//! connection from `connection`, and `answer` forwards the answer and resumes a stream that breaks off.
-//! [`routes`], [`upstreams`] and `state` hold the state that these modules read; a [`dialect`]
-//! maps header names.
+//! validates it and resolves its route and account, `admission_queue` queues it until its service
+//! has free capacity, `attempts` picks upstreams until one answers, `call` sends the request over a
+//! pooled `connection`, and `answer` forwards the answer and resumes a stream that breaks off.
+//! [`routes`], [`upstreams`] and `router_state` hold the state that these modules read; a
+//! [`dialect`] maps header names.
 
 pub(crate) mod admission_queue;
 pub(crate) mod answer;
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/news_fleet_tests.rs
@@ -25,7 +25,7 @@
 const LINK_BYTES_PER_MS: u64 = 625;
 /// Time limit for the whole fleet to have what the first reader has: 3 s less the interval between
 /// reads and the answer time of the log.
-const SPREAD_BOUND_MS: u64 = 1_800;
+const PROPAGATION_LIMIT_MS: u64 = 1_800;
 
 struct Host {
     router: Router,
@@ -151,7 +151,7 @@
     }
 
     /// Time until all live routers have the state of the first reader; `None` if it exceeds 10 s.
-    fn spread_ms(&mut self) -> Option<u64> {
+    fn propagation_ms(&mut self) -> Option<u64> {
         let began_ms = self.now_ms();
         let wanted = self.hosts[0].router.replica.position();
         while self.now_ms() < began_ms + 10_000 {
@@ -185,16 +185,16 @@
 fn change_spreads_in_time_over_thin_links(routers: usize) {
     let mut fleet = Fleet::new(routers, 30_000);
     fleet.read(&change(1));
-    fleet.spread_ms().expect("the first change spreads");
+    fleet.propagation_ms().expect("the first change spreads");
     for at in 1..=routers / 3 {
         fleet.hosts[at].is_dead = true;
     }
     fleet.read(&change(2));
-    let spread_ms = fleet.spread_ms();
-    println!("{routers} routers: {spread_ms:?} ms");
+    let propagation_ms = fleet.propagation_ms();
+    println!("{routers} routers: {propagation_ms:?} ms");
     assert!(
-        spread_ms.is_some_and(|ms| ms <= SPREAD_BOUND_MS),
-        "{spread_ms:?}"
+        propagation_ms.is_some_and(|ms| ms <= PROPAGATION_LIMIT_MS),
+        "{propagation_ms:?}"
     );
     let evacuated = |h: &Host| h.router.state.evacuations().contains("dc-2");
     assert!(fleet.hosts.iter().all(|h| h.is_dead || evacuated(h)));
@@ -206,10 +206,10 @@
 fn unpacked_configuration_is_late() {
     let mut fleet = Fleet::new(71, 280_000);
     fleet.read(&change(1));
-    let spread_ms = fleet.spread_ms();
-    println!("71 routers, as written: {spread_ms:?} ms");
+    let propagation_ms = fleet.propagation_ms();
+    println!("71 routers, as written: {propagation_ms:?} ms");
     assert!(
-        spread_ms.is_none_or(|ms| ms > SPREAD_BOUND_MS),
-        "{spread_ms:?}"
+        propagation_ms.is_none_or(|ms| ms > PROPAGATION_LIMIT_MS),
+        "{propagation_ms:?}"
     );
 }
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -143,6 +143,6 @@
 #[test_case(Mutation::TakeOldOrders)]
 #[test_case(Mutation::DoubtNothing)]
 #[test_case(Mutation::HoldRemovalsBack)]
-fn planted_fault_is_found(fault: Mutation) {
-    finds::<Fleet>("beliefs", fault);
+fn mutation_is_found(mutation: Mutation) {
+    finds::<Fleet>("beliefs", mutation);
 }
--- a/src/path/refusal.rs
+++ b/src/path/refusal.rs
@@ -31,12 +31,12 @@
     /// Returns the status code. 503 guarantees that the request did not run and never will; 502 and
     /// 504 guarantee nothing.
     fn status(&self) -> StatusCode {
-        let is_promise = self.run == RunState::NotRun;
+        let is_not_run = self.run == RunState::NotRun;
         match self.cause {
-            Cause::Deadline | Cause::UpstreamFailed | Cause::Quarantined if is_promise => {
+            Cause::Deadline | Cause::UpstreamFailed | Cause::Quarantined if is_not_run => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Cause::NoUpstream | Cause::Full if !is_promise => StatusCode::BAD_GATEWAY,
+            Cause::NoUpstream | Cause::Full if !is_not_run => StatusCode::BAD_GATEWAY,
             cause => status(cause),
         }
     }
--- a/src/path/regions.rs
+++ b/src/path/regions.rs
@@ -53,8 +53,8 @@
         is_own || self.allow(allowed_regions, data_center)
     }
 
-    /// Whether all of `allowed_regions` allow `data_center`. If its region is unknown, only those that allow
-    /// all regions do.
+    /// Whether all of `allowed_regions` allow `data_center`. If its region is unknown, only those
+    /// that allow all regions do.
     pub fn allow(&self, allowed_regions: &[&AllowedRegions], data_center: &str) -> bool {
         let region = self.of(data_center);
         let allows = |allowed_regions: &[Name]| region.is_some_and(|r| allowed_regions.contains(r));
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -227,7 +227,7 @@
     }
 
     /// Connections that this router may open to each upstream of `service`, as one of `routers`.
-    pub(crate) fn connections(&self, service: &str, routers: usize) -> ConnectionQuota {
+    pub(crate) fn connection_quota(&self, service: &str, routers: usize) -> ConnectionQuota {
         let deployment = self.deployment.borrow();
         let max_connections = deployment.max_connections(service);
         let is_divided = self.decisions().connection_shares;
@@ -279,22 +279,22 @@
     /// Publishes the requests running at each upstream, and the outcomes of calls since the last
     /// publish.
     pub(crate) fn publish_in_flight(&self, demands: Vec<ServiceDemand>, position: LogPosition) {
-        let mut flights: HashMap<Name, InFlightCount> = HashMap::new();
+        let mut counts: HashMap<Name, InFlightCount> = HashMap::new();
         for (id, running) in self.running.borrow().iter() {
-            flights.entry(id.clone()).or_default().running = *running;
+            counts.entry(id.clone()).or_default().running = *running;
         }
         for (id, ended) in self.health.borrow_mut().take_unpublished() {
-            let flight = flights.entry(id).or_default();
-            flight.ended = ended.ended;
-            flight.failed = ended.failed;
+            let count = counts.entry(id).or_default();
+            count.ended = ended.ended;
+            count.failed = ended.failed;
         }
-        let flights = flights.into_iter().map(|(id, flight)| InFlightCount {
+        let counts = counts.into_iter().map(|(id, count)| InFlightCount {
             upstream_digest: digest(&id),
-            ..flight
+            ..count
         });
-        let flights = flights.collect();
+        let counts = counts.collect();
         self.gossip
-            .publish(Publish::InFlight(flights, demands, position));
+            .publish(Publish::InFlight(counts, demands, position));
     }
 
     /// Ejects upstreams whose failure share is too high, by the outcomes that all routers observed.
--- a/src/path/router_state/pool.rs
+++ b/src/path/router_state/pool.rs
@@ -100,7 +100,7 @@
         };
         let mut candidates: Vec<Candidate> = pool.iter().zip(&peer_load).map(candidate).collect();
         for relaxation in RELAXATIONS {
-            if candidates.iter().any(|s| !s.excluded) {
+            if candidates.iter().any(|c| !c.excluded) {
                 break;
             }
             for (candidate, upstream) in candidates.iter_mut().zip(&pool) {
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -205,7 +205,7 @@
 }
 
 impl Deployment {
-    /// The route of `host` with the longest prefix of `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
     /// ```
     /// use cassiagrade::path::routes::{Deployment, Draft, Repeat, Route, Target};
@@ -247,7 +247,8 @@
         allowed_regions.filter(|h| h.is_some()).collect()
     }
 
-    /// Connections that each upstream of `service` accepts from all routers together, if configured.
+    /// Connections that each upstream of `service` accepts from all routers together, if
+    /// configured.
     pub fn max_connections(&self, service: &str) -> Option<u32> {
         self.max_connections.get(service).copied()
     }
