--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -42,7 +42,7 @@
     /// Whether `upstream` is ejected.
     pub(crate) fn is_ejected(&self, upstream: &Upstream, now_ms: u64) -> bool {
         let ejector = self.ejectors.get(&upstream.service);
-        ejector.is_some_and(|e| e.is_out(&upstream.id, now_ms))
+        ejector.is_some_and(|e| e.is_ejected(&upstream.id, now_ms))
     }
 
     /// Whether `upstream` is ejected for its failure share.
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -18,7 +18,7 @@
 use crate::path::dialect::Records;
 use crate::path::router_state::RouterState;
 use crate::path::suspend::SuspendGuard;
-use crate::peers::packed;
+use crate::peers::compression;
 use crate::schema::peer::UpstreamChange;
 use crate::util::{Clock, Name};
 
@@ -142,7 +142,7 @@
 
     /// Applies a compressed configuration from another router.
     fn configure_packed(&self, config: &[u8], source: &str) {
-        match packed::unpack(config) {
+        match compression::decompress(config) {
             Ok(record) => self.configure(record, source),
             Err(e) => {
                 log::error!("configuration from {source} can't be decompressed and is ignored: {e}")
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -114,7 +114,7 @@
 
     /// Number of routers that this router can reach, itself included.
     pub(crate) fn reachable_routers(&self) -> usize {
-        in_flight::reachable(self.gossip.in_flight().heard, self.routers())
+        in_flight::reachable(self.gossip.in_flight().reporting, self.routers())
     }
 
     /// Address at which other routers connect to `host`.
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -140,7 +140,7 @@
 
 async fn request_members<D>(path: &RequestPath<D>, client: &PeerClient, addr: &Name) -> bool {
     match client
-        .ask::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
+        .query::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
         .await
     {
         Ok(MembersReply { members }) => {
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -34,7 +34,7 @@
     /// Remaining time of the quarantine of the request, if it is quarantined.
     pub(crate) fn quarantine_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
         match self.quarantine.status(fingerprint, now_ms) {
-            QuarantineStatus::Convicted { left_ms } => Some(left_ms),
+            QuarantineStatus::Quarantined { left_ms } => Some(left_ms),
             QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -1,4 +1,4 @@
-//! What the task does with time, datagrams and what other tasks tell it.
+//! The membership task's handling of time, datagrams and inputs from other tasks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -24,9 +24,9 @@
 use crate::fleet::swim::{Message, Out, Swim};
 use crate::log::view::ConfigView;
 use crate::peers::frames;
+use crate::peers::probes::auth::{DatagramAuth, TAG_BYTES};
 use crate::peers::probes::count;
 use crate::peers::probes::liveness::Liveness;
-use crate::peers::probes::seal::{Seal, TAG_BYTES};
 use crate::schema::peer::datagram::Body;
 use crate::schema::peer::{
     self, Ack, Datagram, InFlightCount, InFlightReport, LogPosition, Ping, ServiceDemand,
@@ -34,38 +34,39 @@
 use crate::stats;
 use crate::util::{Clock, Name};
 
-/// Four datagrams of this size a second stay under 2 KB/s with their IP and UDP headers.
+/// Four datagrams of this size per second stay under 2 KB/s with their IP and UDP headers.
 const MAX_DATAGRAM_BYTES: usize = 400;
-/// Fine enough for probe timeouts of 100 ms and more.
+/// Short enough for probe timeouts of 100 ms and more.
 const TICK: Duration = Duration::from_millis(50);
-/// What fits beside one another into [`MAX_DATAGRAM_BYTES`]; loads fill what is left.
+/// Entries that fit together into [`MAX_DATAGRAM_BYTES`]; loads fill the rest.
 const MAX_MEMBERS: usize = 2;
 const MAX_SUSPICIONS: usize = 4;
 const MAX_LEAVING: usize = 4;
 const MAX_LOADS: usize = 28;
-/// More changes of members at once are told as counts: a router that starts among 195 would write 390 lines, which
-/// took a host with an eighth of a core 60 ms before its first request.
-const MAX_CHANGES_TOLD: usize = 4;
-/// A suspicion is sent this many times by each router that hears it.
-const SUSPICION_TELLINGS: u32 = 12;
+/// Above this number, simultaneous member changes are reported as counts: a router that starts
+/// among 195 would write 390 lines, which took a host with an eighth of a core 60 ms before its
+/// first request.
+const MAX_LISTED_CHANGES: usize = 4;
+/// Number of times that each router sends a suspicion it received.
+const SUSPICION_SENDS: u32 = 12;
 
-/// What the task owns.
+/// State of the membership task.
 pub(super) struct Task {
     pub(super) socket: UdpSocket,
-    pub(super) seal: Seal,
+    pub(super) auth: DatagramAuth,
     pub(super) swim: Swim,
     pub(super) loads: LoadTable,
     pub(super) suspects: SuspectTable,
     pub(super) leaving: LeavingTable,
-    pub(super) flights: InFlightTable,
-    pub(super) flights_seq: u64,
+    pub(super) in_flight: InFlightTable,
+    pub(super) in_flight_seq: u64,
     pub(super) names: HashMap<u32, Name>,
     pub(super) config: watch::Receiver<Arc<ConfigView>>,
     pub(super) clock: Clock,
     pub(super) events: Events,
     pub(super) rng: SmallRng,
-    pub(super) publish: watch::Sender<Arc<View>>,
-    pub(super) heard: GossipSenders,
+    pub(super) view_tx: watch::Sender<Arc<View>>,
+    pub(super) senders: GossipSenders,
     pub(super) liveness: Liveness,
     pub(super) loads_changed: bool,
 }
@@ -82,7 +83,7 @@
             }
             let wait = Duration::from_millis(next_tick_ms.saturating_sub(now_ms));
             match compio::time::timeout(wait, rx.recv()).await {
-                Ok(Some(note)) => self.handle(note).await,
+                Ok(Some(command)) => self.handle(command).await,
                 Ok(None) => return,
                 Err(_) => {}
             }
@@ -91,40 +92,41 @@
 
     async fn tick(&mut self, now_ms: u64) {
         let out = self.swim.tick(now_ms, &mut self.rng);
-        self.liveness.at_ms.set(now_ms);
+        self.liveness.last_run_ms.set(now_ms);
         if self.config.has_changed().unwrap_or(false) {
             self.config_changed();
         }
         let leaving = self.leaving.known(now_ms);
-        if leaving != self.publish.borrow().leaving {
+        if leaving != self.view_tx.borrow().leaving {
             self.leaving_changed(leaving);
         }
         if self.swim.take_changed() {
             self.liveness
-                .doubt
+                .in_doubt
                 .set(self.swim.in_doubt() || self.swim.replaced());
             self.view_changed();
         }
         if std::mem::take(&mut self.loads_changed) {
             let by_upstream = self.loads.known(&self.names, now_ms);
-            self.heard
+            self.senders
                 .loads
                 .send_replace(Arc::new(Loads { by_upstream }));
         }
         self.send_all(out).await;
     }
 
-    async fn handle(&mut self, note: GossipCommand) {
+    async fn handle(&mut self, command: GossipCommand) {
         let now_ms = self.clock.now_ms();
-        match note {
+        match command {
             GossipCommand::Publish(Publish::Loads(loads)) => {
                 for load in &loads {
                     self.loads.publish(load);
                 }
                 self.loads_changed = true;
             }
-            GossipCommand::Publish(Publish::InFlight(flights, wishes, mark)) => {
-                self.tell_flights(flights, wishes, mark, now_ms).await;
+            GossipCommand::Publish(Publish::InFlight(counts, demands, position)) => {
+                self.publish_in_flight(counts, demands, position, now_ms)
+                    .await;
             }
             GossipCommand::Publish(Publish::Suspicion(suspicion)) => {
                 self.suspect(&[suspicion], now_ms)
@@ -137,50 +139,51 @@
                 self.swim.listed(hosts, now_ms);
                 self.leaving.listed(&leaving);
             }
-            GossipCommand::MembersReceived(members) => self.swim.learn(members, now_ms),
+            GossipCommand::MembersReceived(members) => self.swim.merge_full_list(members, now_ms),
             GossipCommand::Members(reply) => {
-                // The asker may have gone.
+                // The requester may have disconnected.
                 let _ = reply.send(self.swim.all());
             }
             GossipCommand::Leave => self.swim.leave(now_ms),
-            GossipCommand::Goodbye(done) => {
-                let out = self.swim.goodbye(now_ms, &mut self.rng);
+            GossipCommand::Finish(done) => {
+                let out = self.swim.finish(now_ms, &mut self.rng);
                 self.send_all(out).await;
-                // The router may have given up waiting.
+                // The router may have stopped waiting.
                 let _ = done.send(());
             }
         }
     }
 
-    /// Tells the others what runs where. In a large fleet each telling goes to some, drawn anew.
-    async fn tell_flights(
+    /// Publishes the counts of running requests. In a large fleet each publication goes to random
+    /// routers.
+    async fn publish_in_flight(
         &mut self,
-        flights: Vec<InFlightCount>,
-        wishes: Vec<ServiceDemand>,
-        mark: LogPosition,
+        counts: Vec<InFlightCount>,
+        demands: Vec<ServiceDemand>,
+        position: LogPosition,
         now_ms: u64,
     ) {
-        let view = self.publish.borrow().clone();
+        let view = self.view_tx.borrow().clone();
         let is_live = |m: &&Member| m.state != MemberState::Dead;
         let live = view.members.iter().filter(is_live).count();
-        let picture = self.flights.picture(live, now_ms);
-        self.heard.flights.send_replace(Arc::new(picture));
-        self.flights_seq += 1;
+        let totals = self.in_flight.fleet_counts(live, now_ms);
+        self.senders.in_flight.send_replace(Arc::new(totals));
+        self.in_flight_seq += 1;
         let me = self.swim.me();
         let body = Body::Flights(InFlightReport {
             from_host: me.host.to_string(),
             from_incarnation: me.incarnation,
-            seq: self.flights_seq,
-            flights,
-            mark: Some(mark),
-            wishes,
+            seq: self.in_flight_seq,
+            flights: counts,
+            mark: Some(position),
+            wishes: demands,
         });
         let Ok(payload) = frames::to_vec(&Datagram {
             body: Some(body.clone()),
         }) else {
             return;
         };
-        let datagram = self.seal.close(&payload);
+        let datagram = self.auth.sign(&payload);
         let others = view.members.iter().filter(|m| m.host != me.host);
         let live = others.filter(is_live);
         let addrs = live.filter_map(|m| m.peer_addr.parse::<SocketAddr>().ok());
@@ -188,8 +191,8 @@
             count("sent", &body, datagram.len());
             let BufResult(sent, _) = self.socket.send_to(datagram.clone(), addr).await;
             if let Err(e) = sent {
-                // The next telling makes it good.
-                log::debug!("flights to {addr} not sent: {e}");
+                // The next publication makes up for it.
+                log::debug!("sending request counts to {addr} failed: {e}");
             }
         }
     }
@@ -208,16 +211,13 @@
                 let host = host.into();
                 (gossip, Message::Ack { seq, host })
             }
-            Body::Flights(mut told) => {
-                let mark = told.mark.take().unwrap_or_default();
-                let host = told.from_host.clone();
-                self.heard
+            Body::Flights(mut counts) => {
+                let position = counts.mark.take().unwrap_or_default();
+                let host = counts.from_host.clone();
+                self.senders
                     .peer_positions
-                    .send_replace(Arc::new(PeerPosition {
-                        host,
-                        position: mark,
-                    }));
-                return self.flights.heard(told, now_ms);
+                    .send_replace(Arc::new(PeerPosition { host, position }));
+                return self.in_flight.record(counts, now_ms);
             }
         };
         self.merge(gossip.unwrap_or_default(), now_ms);
@@ -230,35 +230,35 @@
         let members = gossip.members.into_iter().map(Member::from).collect();
         self.swim.merge(members, now_ms);
         self.swim
-            .heard_from(&gossip.from_host, gossip.from_incarnation, now_ms);
+            .record_contact(&gossip.from_host, gossip.from_incarnation, now_ms);
         self.leaving.merge(&gossip.leaving, now_ms);
         self.loads.merge(&gossip.loads, now_ms);
         self.loads_changed |= !gossip.loads.is_empty();
         self.suspect(&gossip.suspicions, now_ms);
-        self.hear_config(
+        self.record_config(
             &gossip.from_host,
             gossip.config_offset,
             gossip.config_digest,
         );
     }
 
-    fn suspect(&mut self, told: &[peer::Suspicion], now_ms: u64) {
-        if self.suspects.merge(told, now_ms) {
+    fn suspect(&mut self, received: &[peer::Suspicion], now_ms: u64) {
+        if self.suspects.merge(received, now_ms) {
             let all = self.suspects.all(now_ms);
-            self.heard.suspicions.send_replace(Arc::new(all));
+            self.senders.suspicions.send_replace(Arc::new(all));
         }
     }
 
-    fn hear_config(&self, host: &str, offset: u64, digest: u64) {
-        if offset <= self.heard.config.borrow().offset {
+    fn record_config(&self, host: &str, offset: u64, digest: u64) {
+        if offset <= self.senders.config.borrow().offset {
             return;
         }
-        let view = self.publish.borrow();
+        let view = self.view_tx.borrow();
         let Some(member) = view.get(host) else {
             return;
         };
         let peer_addr = member.peer_addr.clone();
-        self.heard.config.send_replace(Arc::new(NewestConfig {
+        self.senders.config.send_replace(Arc::new(NewestConfig {
             offset,
             digest,
             peer_addr,
@@ -272,7 +272,7 @@
         self.view_changed();
     }
 
-    /// Publishes the view, and settles anew which upstreams this router is home to.
+    /// Publishes the view, and recomputes which upstreams this router is home to.
     fn view_changed(&mut self) {
         let config = self.config.borrow().clone();
         let mut view = self.swim.view();
@@ -287,7 +287,7 @@
                 member.state = MemberState::Leaving;
             }
         }
-        self.note_changes(&view);
+        self.report_changes(&view);
         let me = &self.swim.me().host;
         let upstreams = config.state.upstreams.iter();
         let own = upstreams
@@ -295,10 +295,10 @@
             .filter_map(|u| self.names.get(&loads::digest(&u.name)));
         self.loads.set_own(own);
         self.leaving
-            .keep_signals(|digest| self.loads.is_own(digest));
-        view.leaving.clone_from(&self.publish.borrow().leaving);
+            .retain_signals(|digest| self.loads.is_own(digest));
+        view.leaving.clone_from(&self.view_tx.borrow().leaving);
         self.loads_changed = true;
-        self.publish.send_replace(Arc::new(view));
+        self.view_tx.send_replace(Arc::new(view));
     }
 
     fn leaving_changed(&self, leaving: HashSet<u32>) {
@@ -307,26 +307,26 @@
             .iter()
             .filter(|(digest, _)| leaving.contains(digest))
         {
-            if !self.publish.borrow().leaving.contains(name.0) {
+            if !self.view_tx.borrow().leaving.contains(name.0) {
                 self.events
                     .emit(Kind::UpstreamLeaving, |e| e.upstream = name.1.to_string());
             }
         }
-        self.publish
+        self.view_tx
             .send_modify(|view| Arc::make_mut(view).leaving = leaving);
     }
 
-    fn note_changes(&self, view: &View) {
-        let before = self.publish.borrow();
+    fn report_changes(&self, view: &View) {
+        let before = self.view_tx.borrow();
         let is_changed = |member: &&Member| {
-            let was = before.get(&member.host).map(|m| (m.incarnation, m.state));
-            was != Some((member.incarnation, member.state))
+            let known = before.get(&member.host).map(|m| (m.incarnation, m.state));
+            known != Some((member.incarnation, member.state))
         };
         let changed: Vec<&Member> = view.members.iter().filter(is_changed).collect();
         for member in &changed {
             stats::member_changed(member.state.into());
         }
-        if changed.len() > MAX_CHANGES_TOLD {
+        if changed.len() > MAX_LISTED_CHANGES {
             let counts = counts_by_state(&changed);
             self.events.emit(Kind::MemberChanged, |e| e.detail = counts);
             return;
@@ -361,12 +361,12 @@
             gossip.loads.truncate(keep);
         };
         let Some((body, payload)) = body else { return };
-        let datagram = self.seal.close(&payload);
+        let datagram = self.auth.sign(&payload);
         count("sent", &body, datagram.len());
         let BufResult(sent, _) = self.socket.send_to(datagram, out.to).await;
         if let Err(e) = sent {
-            // As good as lost on the way: the probe's timeout handles it.
-            log::debug!("datagram to {} not sent: {e}", out.to);
+            // Equivalent to a lost datagram: the probe's timeout handles it.
+            log::debug!("sending a datagram to {} failed: {e}", out.to);
         }
     }
 
@@ -375,24 +375,24 @@
         let config = self.config.borrow();
         let me = self.swim.me();
         let (from_host, from_incarnation) = (me.host.to_string(), me.incarnation);
-        let rumours = self.swim.rumours(to, MAX_MEMBERS, &mut self.rng);
+        let updates = self.swim.updates_for(to, MAX_MEMBERS, &mut self.rng);
         peer::Gossip {
             from_host,
             from_incarnation,
             config_offset: config.state.offset,
             config_digest: config.digest,
-            members: rumours.iter().map(peer::Member::from).collect(),
-            loads: self.loads.beats(MAX_LOADS, now_ms, &mut self.rng),
+            members: updates.iter().map(peer::Member::from).collect(),
+            loads: self.loads.sample(MAX_LOADS, now_ms, &mut self.rng),
             suspicions: self
                 .suspects
-                .rumours(MAX_SUSPICIONS, SUSPICION_TELLINGS, now_ms),
+                .updates_to_send(MAX_SUSPICIONS, SUSPICION_SENDS, now_ms),
             stamp: self.events.stamp(),
-            leaving: self.leaving.beats(MAX_LEAVING, now_ms, &mut self.rng),
+            leaving: self.leaving.sample(MAX_LEAVING, now_ms, &mut self.rng),
         }
     }
 }
 
-/// How many members came to which state, as "190 alive, 5 suspect".
+/// Counts the members by their new state, as in "190 alive, 5 suspect".
 fn counts_by_state(members: &[&Member]) -> String {
     let mut counts: BTreeMap<&'static str, usize> = BTreeMap::new();
     for member in members {
@@ -402,7 +402,7 @@
     counts.collect::<Vec<_>>().join(", ")
 }
 
-/// The least a load takes on the wire.
+/// Smallest encoded size of a load.
 const LOAD_BYTES: usize = 9;
 
 fn body(message: &Message, gossip: peer::Gossip) -> Body {
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -185,7 +185,7 @@
         };
         let peers = self.peers.clone();
         compio::runtime::spawn(async move {
-            if let Err(e) = peers.ask::<_, WarmReply>(&addr, WARM, &note).await {
+            if let Err(e) = peers.query::<_, WarmReply>(&addr, WARM, &note).await {
                 log::debug!("{addr} wasn't told of a chat: {e}");
             }
         })
@@ -234,7 +234,7 @@
             chat_key: forward.chat_key,
             ..WarmRequest::default()
         };
-        let asked = self.peers.ask::<_, WarmReply>(&addr, WARM, &ask);
+        let asked = self.peers.query::<_, WarmReply>(&addr, WARM, &ask);
         let given = compio::time::timeout(ASK_TIMEOUT, asked).await.ok()?.ok()?;
         (!given.upstream.is_empty()).then(|| Place {
             upstream: given.upstream.into(),
@@ -262,7 +262,7 @@
         let mean_ms = self.loads.pool_view(&pool.slots, None).mean_work_ms;
         let state = &mut *self.state.borrow_mut();
         let shown = |slots: &Slots| {
-            if is_barred(slots) || state.ejector.is_out(&slots.name, now_ms) {
+            if is_barred(slots) || state.ejector.is_ejected(&slots.name, now_ms) {
                 return f64::INFINITY;
             }
             // Unknown isn't idle.
@@ -335,7 +335,7 @@
             Change::Ejected => Kind::UpstreamEjected,
             Change::Restored => Kind::UpstreamRestored,
         };
-        let (failures, mean_ms) = self.state.borrow().ejector.grounds(upstream);
+        let (failures, mean_ms) = self.state.borrow().ejector.evidence(upstream);
         self.ctx.events.emit(kind, |e| {
             e.upstream = upstream.to_string();
             e.detail =
