--- a/src/path/admission_queue.rs
+++ b/src/path/admission_queue.rs
@@ -117,7 +117,8 @@
         let mut demands = Vec::new();
         for (service, queue) in self.queues.borrow_mut().iter_mut() {
             let slots_open = state.slots_open(service, now_ms);
-            queue.slots_open = slots_open.map(|p| f64::from(p) * queue.admission.fill());
+            queue.slots_open =
+                slots_open.map(|p| f64::from(p) * queue.admission.requests_per_slot());
             queue.others = state.demands_of_others(service);
             queue.poll(now_ms);
             let wanted = queue.admission.demand();
@@ -133,9 +134,9 @@
     }
 
     /// Usual duration of a request to `service`, once some were observed.
-    pub(crate) fn usual_ms(&self, service: &str) -> Option<f64> {
+    pub(crate) fn typical_ms(&self, service: &str) -> Option<f64> {
         let queues = self.queues.borrow();
-        queues.get(service).and_then(|g| g.admission.usual_ms())
+        queues.get(service).and_then(|g| g.admission.typical_ms())
     }
 
     /// Describes the state that a refusal by the queue of `service` was based on.
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -306,8 +306,8 @@
                 spread::by_part(part, &candidates, bound(decisions))?
             }
             _ => {
-                let usual_ms = context.path.queues.usual_ms(&context.service);
-                let counts = Counts::of_age(state.load_report_age_ms(), usual_ms);
+                let typical_ms = context.path.queues.typical_ms(&context.service);
+                let counts = Counts::of_age(state.load_report_age_ms(), typical_ms);
                 Selection {
                     at: spread::by_load(&candidates, counts, &mut rand::rng())?,
                     source: None,
--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -170,7 +170,7 @@
         let ejector = self.ejectors.entry(first.service.clone()).or_default();
         let mut ejected = Vec::new();
         for at in grey(&outcomes) {
-            let change = ejector.grey(&names[at], &names, DEFAULT_SHARE, now_ms);
+            let change = ejector.eject_grey(&names[at], &names, DEFAULT_SHARE, now_ms);
             if change == Change::Ejected {
                 self.grey.insert(names[at].clone());
                 ejected.push((names[at].clone(), outcomes[at].share()));
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -38,7 +38,7 @@
 
 /// Compressed records, and the offset that they reflect.
 #[derive(Default)]
-struct Packed {
+struct Compressed {
     bytes: Bytes,
     at: u64,
 }
@@ -49,8 +49,8 @@
     clock: Clock,
     schedules: Cell<ReadSchedules>,
     /// Configuration in force, compressed for other routers.
-    packed_config: RefCell<Bytes>,
-    packed_upstreams: RefCell<Packed>,
+    compressed_config: RefCell<Bytes>,
+    compressed_upstreams: RefCell<Compressed>,
     config_fresh: Cell<Freshness>,
     upstreams: RefCell<HashMap<Name, Bytes>>,
     upstreams_at: Cell<u64>,
@@ -73,8 +73,8 @@
             state,
             clock,
             schedules: Cell::new(schedules),
-            packed_config: RefCell::default(),
-            packed_upstreams: RefCell::default(),
+            compressed_config: RefCell::default(),
+            compressed_upstreams: RefCell::default(),
             config_fresh: Cell::default(),
             upstreams: RefCell::default(),
             upstreams_at: Cell::default(),
@@ -115,7 +115,7 @@
             Ok(deployment) => {
                 let version = deployment.version;
                 if self.state.configure(deployment) {
-                    self.pack_config(&record);
+                    self.compress_config(&record);
                     log::info!("configuration {version} in force, from {source}");
                     self.notify_loaded();
                 }
@@ -130,18 +130,19 @@
     /// Dozens of routers request it from the first ones that have it, over slow links: each serves
     /// only a few per second, and the change takes effect too late. Compression reduces it to some
     /// hundredths of that size.
-    fn pack_config(&self, record: &[u8]) {
-        let packed = packed::pack(record);
-        let packed = packed.inspect_err(|e| {
+    fn compress_config(&self, record: &[u8]) {
+        let compressed = compression::compress(record);
+        let compressed = compressed.inspect_err(|e| {
             log::error!(
                 "configuration can't be compressed for peers, which get none from this router: {e}"
             )
         });
-        self.packed_config.replace(packed.unwrap_or_default());
+        self.compressed_config
+            .replace(compressed.unwrap_or_default());
     }
 
     /// Applies a compressed configuration from another router.
-    fn configure_packed(&self, config: &[u8], source: &str) {
+    fn configure_compressed(&self, config: &[u8], source: &str) {
         match compression::decompress(config) {
             Ok(record) => self.configure(record, source),
             Err(e) => {
--- a/src/path/log_replica/sync.rs
+++ b/src/path/log_replica/sync.rs
@@ -66,20 +66,20 @@
             return self.reply_config_only(request, has_newer);
         }
         let mut reply = LogSyncReply {
-            config: self.packed_config(has_newer),
+            config: self.compressed_config(has_newer),
             mark: Some(self.position()),
             evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         };
         let Some(changes) = missed else {
-            reply.all_upstreams = self.packed_upstreams();
+            reply.all_upstreams = self.compressed_upstreams();
             if reply.all_upstreams.is_empty() {
                 return self.reply_config_only(request, has_newer);
             }
             return reply;
         };
         if !changes.is_empty() {
-            reply.changes = pack(&changes);
+            reply.changes = compress(&changes);
             if reply.changes.is_empty() {
                 return self.reply_config_only(request, has_newer);
             }
@@ -101,16 +101,16 @@
             ..self.position()
         };
         LogSyncReply {
-            config: self.packed_config(has_newer),
+            config: self.compressed_config(has_newer),
             mark: Some(position),
             evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         }
     }
 
-    fn packed_config(&self, is_wanted: bool) -> Vec<u8> {
+    fn compressed_config(&self, is_wanted: bool) -> Vec<u8> {
         if is_wanted {
-            self.packed_config.borrow().to_vec()
+            self.compressed_config.borrow().to_vec()
         } else {
             Vec::new()
         }
@@ -129,17 +129,17 @@
     /// Failure guarded against: thousands of records take hundreds of kilobytes. A fleet that
     /// starts at once sends them from router to router over slow links, and delays the requests of
     /// callers on those links.
-    fn packed_upstreams(&self) -> Vec<u8> {
+    fn compressed_upstreams(&self) -> Vec<u8> {
         let at = self.upstreams_at.get();
-        let mut packed = self.packed_upstreams.borrow_mut();
-        if packed.at != at {
-            packed.bytes = self.pack_upstreams().into();
-            packed.at = at;
+        let mut compressed = self.compressed_upstreams.borrow_mut();
+        if compressed.at != at {
+            compressed.bytes = self.compress_upstreams().into();
+            compressed.at = at;
         }
-        packed.bytes.to_vec()
+        compressed.bytes.to_vec()
     }
 
-    fn pack_upstreams(&self) -> Vec<u8> {
+    fn compress_upstreams(&self) -> Vec<u8> {
         let upstreams = self.upstreams.borrow();
         let change = |(id, record): (&Name, &Bytes)| UpstreamChange {
             at: self.upstreams_at.get(),
@@ -147,7 +147,7 @@
             record: record.to_vec(),
         };
         let all: Vec<UpstreamChange> = upstreams.iter().map(change).collect();
-        pack(&all)
+        compress(&all)
     }
 
     /// Applies the answer of another router to a request sent at `asked_ms`.
@@ -155,7 +155,7 @@
         self.check_clock();
         let position = reply.mark.unwrap_or_default();
         if !reply.config.is_empty() {
-            self.configure_packed(&reply.config, source);
+            self.configure_compressed(&reply.config, source);
         }
         if position.orders_at > self.orders_at() {
             let evacuated = reply.evacuated.iter().map(|name| name.as_str().into());
@@ -175,12 +175,12 @@
     /// Applies the upstreams of an answer, and returns whether they could be decoded.
     fn apply_upstreams(&self, reply: LogSyncReply, at: u64, source: &str) -> bool {
         let is_all = !reply.all_upstreams.is_empty();
-        let packed = if is_all {
+        let compressed = if is_all {
             &reply.all_upstreams
         } else {
             &reply.changes
         };
-        let changes = match unpack(packed) {
+        let changes = match decompress(compressed) {
             Ok(changes) => changes,
             Err(e) => {
                 log::error!("upstreams from {source} can't be decompressed and are ignored: {e}");
@@ -229,11 +229,11 @@
 }
 
 /// Compresses upstreams for another router. A failure is logged, and the result is empty.
-fn pack(changes: &Vec<UpstreamChange>) -> Vec<u8> {
+fn compress(changes: &Vec<UpstreamChange>) -> Vec<u8> {
     let listed = frames::to_vec(changes).map_err(|e| e.to_string());
-    let packed =
+    let compressed =
         listed.and_then(|listed| compression::compress(&listed).map_err(|e| e.to_string()));
-    packed
+    compressed
         .inspect_err(|e| {
             log::error!(
                 "upstreams can't be compressed for peers, which get none from this router: {e}"
@@ -243,10 +243,10 @@
         .to_vec()
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
-    if packed.is_empty() {
+fn decompress(compressed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
+    if compressed.is_empty() {
         return Ok(Vec::new());
     }
-    let listed = compression::decompress(packed).map_err(|e| e.to_string())?;
+    let listed = compression::decompress(compressed).map_err(|e| e.to_string())?;
     frames::from_slice(&listed).map_err(|e| e.to_string())
 }
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/news_fleet_tests.rs
@@ -203,7 +203,7 @@
 /// The same with the uncompressed configuration: shows that the model reproduces the failure that
 /// compression prevents.
 #[test]
-fn unpacked_configuration_is_late() {
+fn uncompressed_configuration_is_late() {
     let mut fleet = Fleet::new(71, 280_000);
     fleet.read(&change(1));
     let propagation_ms = fleet.propagation_ms();
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -168,7 +168,7 @@
     };
     let asked_ms = path.clock.now_ms();
     match client
-        .ask::<_, LogSyncReply>(addr, LOG_SYNC, &request)
+        .query::<_, LogSyncReply>(addr, LOG_SYNC, &request)
         .await
     {
         Ok(reply) => path.replica.apply_reply(reply, addr, asked_ms),
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -247,7 +247,7 @@
     /// Demand for `service` of each of the other routers, in requests.
     pub(crate) fn demands_of_others(&self, service: &str) -> Vec<u32> {
         let load = self.gossip.in_flight();
-        load.wishes
+        load.demands
             .get(&digest(service))
             .cloned()
             .unwrap_or_default()
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -62,7 +62,9 @@
         let dead: VecDeque<LostAnswer> = dead;
         let mut suspicions = Vec::new();
         for lost in dead {
-            let deaths = self.quarantine.died(lost.fingerprint, false, now_ms);
+            let deaths = self
+                .quarantine
+                .record_death(lost.fingerprint, false, now_ms);
             suspicions.push(Suspicion {
                 fingerprint: lost.fingerprint,
                 deaths,
@@ -76,7 +78,7 @@
     /// Clears the request after it was answered. Returns the suspicion to publish, if there was
     /// one.
     pub(crate) fn clear(&mut self, fingerprint: u64) -> Option<Suspicion> {
-        let was_suspected = self.quarantine.succeeded(fingerprint);
+        let was_suspected = self.quarantine.clear(fingerprint);
         was_suspected.then_some(Suspicion {
             fingerprint,
             deaths: 0,
