--- a/src/path/admission_queue.rs
+++ b/src/path/admission_queue.rs
@@ -74,13 +74,16 @@
         objective_ms: u64,
     ) -> Result<Permit, Refusal> {
         let id = job.id;
-        let ask = AdmissionRequest { job, objective_ms };
+        let request = AdmissionRequest { job, objective_ms };
         let now_ms = self.clock.now_ms();
         let verdict = {
             let mut queues = self.queues.borrow_mut();
             let queue = queues.entry(service.clone()).or_default();
             let quota = queue.quota();
-            match queue.admission.offer(ask, quota, now_ms, &mut rand::rng()) {
+            match queue
+                .admission
+                .offer(request, quota, now_ms, &mut rand::rng())
+            {
                 Offer::Start => None,
                 Offer::Refused(refusal) => return Err(refusal),
                 Offer::Wait => {
--- a/src/path/news_fake_tests.rs
+++ b/src/path/news_fake_tests.rs
@@ -158,9 +158,9 @@
     }
 
     /// Answers a reader of the records of operators.
-    pub(super) fn answer_orders(&self, ask: ReadRange) -> Answer<Order> {
+    pub(super) fn answer_orders(&self, range: ReadRange) -> Answer<Order> {
         let end = self.orders.len();
-        match ask {
+        match range {
             ReadRange::All => {
                 let version = self.newest_version(u64::MAX).to_string();
                 let evacuated = self.evacuated(end).into_iter().map(Order::Evacuate);
@@ -178,12 +178,12 @@
         }
     }
 
-    pub(super) fn answer(&self, ask: ReadRange) -> Answer<Record> {
+    pub(super) fn answer(&self, range: ReadRange) -> Answer<Record> {
         let record = |w: &Written| Record {
             key: w.id.clone(),
             value: w.entry.map(encode),
         };
-        match ask {
+        match range {
             ReadRange::All => {
                 let entries = self.entries(self.log.len()).into_iter();
                 let records = entries.map(|(key, entry)| Record {
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/news_fleet_tests.rs
@@ -89,13 +89,13 @@
             let host = &self.hosts[to];
             let is_free = to != from && !host.is_dead && host.pending.is_none();
             if is_free && host.router.replica.is_behind(&position) {
-                self.ask(to, from);
+                self.send_request(to, from);
             }
         }
     }
 
     /// The answer is sent after everything that is queued on the link of the peer.
-    fn ask(&mut self, at: usize, peer: usize) {
+    fn send_request(&mut self, at: usize, peer: usize) {
         let now_ms = self.now_ms();
         let has = self.hosts[at].router.state.deployment().version;
         let given = self.hosts[peer].router.state.deployment().version;
--- a/src/path/news_world_tests.rs
+++ b/src/path/news_world_tests.rs
@@ -75,12 +75,12 @@
         let now_ms = self.now_ms();
         let host = &mut self.hosts[at];
         if host.orders.is_none() {
-            let ask = host.order_cursor.next_read(host.router.replica.orders_at());
-            host.orders = Some((now_ms, self.store.answer_orders(ask)));
+            let range = host.order_cursor.next_read(host.router.replica.orders_at());
+            host.orders = Some((now_ms, self.store.answer_orders(range)));
         }
         if host.upstreams.is_none() {
-            let ask = host.cursor.next_read(host.router.replica.upstreams_at());
-            host.upstreams = Some((now_ms, self.store.answer(ask)));
+            let range = host.cursor.next_read(host.router.replica.upstreams_at());
+            host.upstreams = Some((now_ms, self.store.answer(range)));
         }
     }
 
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -84,9 +84,9 @@
 /// unreachable for a router that starts.
 ///
 /// Failure guarded against: when hundreds of routers start at once with thousands of upstreams,
-/// they have read half of the log by the time they begin to ask. If each asks several peers for all
-/// of it, the peers that are ready first, and the few seeds that all routers know, are overloaded
-/// for long, and so are their callers.
+/// they have read half of the log by the time they begin to send requests. If each requested all of
+/// it from several peers, the peers that are ready first, and the few seeds that all routers know,
+/// would be overloaded for long, and so would their callers.
 pub(crate) async fn join<D: Dialect + Records>(
     path: Rc<RequestPath<D>>,
     client: PeerClient,
