--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -1,4 +1,4 @@
-//! One call to one upstream: a request's bytes out, an answer's head in.
+//! One call to one upstream: sends the request and reads the head of the answer.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,99 +13,101 @@
 use strum::IntoStaticStr;
 
 use crate::decide::connections::ConnectionQuota;
+use crate::path::connection::{self, Connection, ConnectionPool};
 use crate::path::dialect::{AnswerHead, Dialect};
-use crate::path::link::{self, Link, Links};
-use crate::path::router_state::{RouterState, Running};
+use crate::path::router_state::{RouterState, RunningGuard};
 use crate::path::upstreams::Upstream;
 use crate::util::{Clock, Name};
 
-/// To open a connection: some round trips between data centres, and less than a counter's caller
-/// notices when another upstream takes over.
+/// Time limit for opening a connection: some round trips between data centres, and short enough
+/// that a caller of an interactive service does not notice when another upstream takes over.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The longest answer that is held whole so that it can be asked for again.
-const MAX_WHOLE_BYTES: usize = 1 << 20;
+/// Largest answer that is buffered so that the request can be retried.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
-/// How a call ended without an answer.
+/// A call that ended without an answer.
 #[derive(Debug)]
-pub(crate) struct CallFailed {
-    /// What may be said of the request.
-    pub(crate) fate: Fate,
-    /// What went wrong, for the log.
-    pub(crate) why: String,
-    /// This router gave the upstream up for its silence.
+pub(crate) struct CallError {
+    /// Whether the request may have run.
+    pub(crate) kind: FailureKind,
+    /// Reason of the failure, for the log.
+    pub(crate) reason: String,
+    /// Whether the call was abandoned because the upstream did not answer in time.
     pub(crate) timed_out: bool,
 }
 
-/// What a failed call means for its request.
+/// How far the request of a failed call got.
 #[derive(Clone, Copy, Debug, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Fate {
-    /// No byte of it left.
+pub(crate) enum FailureKind {
+    /// No byte of the request was sent.
     NotSent,
-    /// The upstream got it and said that it didn't run it.
+    /// The upstream received the request and reported that it did not run it.
     Rejected,
-    /// Another incarnation got it and didn't run it: the one that was meant is gone.
+    /// Another incarnation received the request and did not run it: the addressed one no longer
+    /// exists.
     Replaced,
-    /// It may have run.
+    /// The request may have run.
     Lost,
 }
 
-/// An upstream's answer whose body is still to be read.
+/// Answer of an upstream whose body has not been read yet.
 pub(crate) struct Reply {
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) parts: Parts,
     body: Incoming,
-    link: Link,
-    links: Links,
-    share: ConnectionQuota,
-    running: Running,
+    connection: Connection,
+    connections: ConnectionPool,
+    quota: ConnectionQuota,
+    running: RunningGuard,
 }
 
-/// An answer that was read whole.
-pub(crate) struct Whole {
+/// Completely read answer.
+pub(crate) struct BufferedReply {
     pub(crate) upstream: Name,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
 }
 
-/// What a request's calls share.
-pub(crate) struct Caller<'a> {
+/// Context shared by the calls of a request.
+pub(crate) struct UpstreamClient<'a> {
     pub(crate) state: &'a Rc<RouterState>,
-    pub(crate) links: &'a Links,
-    pub(crate) share: ConnectionQuota,
+    pub(crate) connections: &'a ConnectionPool,
+    pub(crate) quota: ConnectionQuota,
     pub(crate) clock: Clock,
 }
 
-/// One call's content.
+/// Content of one call.
 pub(crate) struct Call<'a> {
     pub(crate) request: &'a RequestParts,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) request_id: Option<&'a str>,
-    /// A kept connection may have been closed by the upstream while the request is on its way, and
-    /// nobody could say whether it ran.
-    pub(crate) fresh: bool,
+    /// Whether to open a new connection. The upstream may close an idle connection while the
+    /// request is in transit, and then it is unknown whether the request ran.
+    pub(crate) new_connection: bool,
     pub(crate) timeout: Duration,
 }
 
-impl Caller<'_> {
-    /// Calls `upstream` and waits for its answer's head.
+impl UpstreamClient<'_> {
+    /// Calls `upstream` and waits for the head of its answer.
     pub(crate) async fn call<D: Dialect>(
         &self,
         upstream: Rc<Upstream>,
         call: Call<'_>,
-    ) -> Result<Reply, CallFailed> {
-        let running = self.state.run(&upstream, self.clock.now_ms());
+    ) -> Result<Reply, CallError> {
+        let running = self.state.start_request(&upstream, self.clock.now_ms());
         let started = Instant::now();
         let sent = self.send(&upstream, &call).await;
         let now_ms = self.clock.now_ms();
-        let (parts, body, link) = match sent {
+        let (parts, body, connection) = match sent {
             Ok(answer) => answer,
             Err(failed) => {
                 if failed.timed_out {
-                    self.state.overran(&upstream, &failed.why, now_ms);
+                    self.state
+                        .record_overload(&upstream, &failed.reason, now_ms);
                 } else {
-                    self.state.failed(&upstream, &failed.why, now_ms);
+                    self.state.record_failure(&upstream, &failed.reason, now_ms);
                 }
                 return Err(failed);
             }
@@ -115,20 +117,23 @@
         match checked {
             Ok(()) if !parts.status.is_server_error() => {
                 let took_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-                self.state.answered(&upstream, took_ms, now_ms);
+                self.state.record_answer(&upstream, took_ms, now_ms);
             }
             Ok(()) if parts.status == StatusCode::GATEWAY_TIMEOUT => {
-                self.state.overran(&upstream, parts.status.as_str(), now_ms);
+                self.state
+                    .record_overload(&upstream, parts.status.as_str(), now_ms);
             }
-            Ok(()) => self.state.answered_failure(&upstream, now_ms),
+            Ok(()) => self.state.record_error_answer(&upstream, now_ms),
             Err(failed) => {
-                if matches!(failed.fate, Fate::Rejected | Fate::Replaced) {
-                    self.read_rejection(&upstream, body, link, &parts).await;
+                if matches!(failed.kind, FailureKind::Rejected | FailureKind::Replaced) {
+                    self.drain_rejection(&upstream, body, connection, &parts)
+                        .await;
                 }
-                if failed.fate == Fate::Rejected {
-                    self.state.overran(&upstream, &failed.why, now_ms);
+                if failed.kind == FailureKind::Rejected {
+                    self.state
+                        .record_overload(&upstream, &failed.reason, now_ms);
                 } else {
-                    self.state.failed(&upstream, &failed.why, now_ms);
+                    self.state.record_failure(&upstream, &failed.reason, now_ms);
                 }
                 return Err(failed);
             }
@@ -137,9 +142,9 @@
             upstream,
             parts,
             body,
-            link,
-            links: self.links.clone(),
-            share: self.share,
+            connection,
+            connections: self.connections.clone(),
+            quota: self.quota,
             running,
         })
     }
@@ -148,69 +153,79 @@
         &self,
         upstream: &Upstream,
         call: &Call<'_>,
-    ) -> Result<(Parts, Incoming, Link), CallFailed> {
+    ) -> Result<(Parts, Incoming, Connection), CallError> {
         let timeout = compio::time::timeout(call.timeout, async {
-            let kept = if call.fresh {
+            let idle = if call.new_connection {
                 None
             } else {
-                self.links.kept(&upstream.id)
+                self.connections.take_idle(&upstream.id)
             };
-            let Some(link) = kept else {
-                return self.send_fresh(upstream, call).await;
+            let Some(connection) = idle else {
+                return self.send_on_new(upstream, call).await;
             };
-            match send_on(link, call).await {
-                // The upstream closed it while it was idle; not a byte left.
-                Err(failed) if failed.fate == Fate::NotSent => {
-                    self.send_fresh(upstream, call).await
+            match send_on(connection, call).await {
+                // The upstream closed the idle connection; no byte was sent.
+                Err(failed) if failed.kind == FailureKind::NotSent => {
+                    self.send_on_new(upstream, call).await
                 }
                 answered => answered,
             }
         });
         timeout.await.unwrap_or_else(|_| {
-            // The connection may still have been opening; nobody can say how far the request got.
-            let why = format!("no answer within {} ms", call.timeout.as_millis());
-            Err(CallFailed {
+            // The time limit covers connecting and sending, so it is unknown whether the request
+            // was sent.
+            let reason = format!("no answer within {} ms", call.timeout.as_millis());
+            Err(CallError {
                 timed_out: true,
-                ..lost(why)
+                ..lost(reason)
             })
         })
     }
 
-    async fn send_fresh(
+    async fn send_on_new(
         &self,
         upstream: &Upstream,
         call: &Call<'_>,
-    ) -> Result<(Parts, Incoming, Link), CallFailed> {
+    ) -> Result<(Parts, Incoming, Connection), CallError> {
         let in_use = self.state.running(&upstream.id);
-        self.links
-            .make_room(&upstream.id, self.share.open.saturating_sub(in_use));
-        let opened = link::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
-        let link = opened.map_err(|e| not_sent(e.to_string()))?;
-        send_on(link, call).await
+        self.connections
+            .close_excess(&upstream.id, self.quota.open.saturating_sub(in_use));
+        let opened = connection::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
+        let connection = opened.map_err(|e| not_sent(e.to_string()))?;
+        send_on(connection, call).await
     }
 
-    /// Reads a refusal to its end, so that its connection can be kept.
-    async fn read_rejection(&self, upstream: &Upstream, body: Incoming, link: Link, parts: &Parts) {
+    /// Reads the body of a rejection, so that its connection can be reused.
+    async fn drain_rejection(
+        &self,
+        upstream: &Upstream,
+        body: Incoming,
+        connection: Connection,
+        parts: &Parts,
+    ) {
         let read = compio::time::timeout(CONNECT_TIMEOUT, body.collect()).await;
         if matches!(read, Ok(Ok(_))) {
-            self.links
-                .keep(&upstream.id, link, &parts.headers, self.share);
+            self.connections
+                .put_back(&upstream.id, connection, &parts.headers, self.quota);
         }
     }
 }
 
-async fn send_on(mut link: Link, call: &Call<'_>) -> Result<(Parts, Incoming, Link), CallFailed> {
-    let sent = link.sender.try_send_request(build(call)).await;
+async fn send_on(
+    mut connection: Connection,
+    call: &Call<'_>,
+) -> Result<(Parts, Incoming, Connection), CallError> {
+    let sent = connection.sender.try_send_request(build(call)).await;
     match sent {
         Ok(response) => {
             let (parts, body) = response.into_parts();
-            Ok((parts, body, link))
+            Ok((parts, body, connection))
         }
         Err(mut e) => {
-            let why = e.error().to_string();
+            let reason = e.error().to_string();
             match e.take_message() {
-                Some(_) => Err(not_sent(why)),
-                None => Err(lost(why)),
+                Some(_) => Err(not_sent(reason)),
+                None => Err(lost(reason)),
             }
         }
     }
@@ -229,58 +244,64 @@
     request
 }
 
-/// Whether the answer may be believed.
+/// Checks that the answer belongs to this request.
 ///
-/// Failure guarded against: an upstream sends a second answer late, and it stands where the next
-/// request's answer is expected: that caller would get what another one asked for.
-fn check(parts: &Parts, head: &AnswerHead, request_id: Option<&str>) -> Result<(), CallFailed> {
-    let is_another = parts.status == StatusCode::MISDIRECTED_REQUEST;
-    if head.not_run || is_another {
-        return Err(CallFailed {
-            fate: if is_another {
-                Fate::Replaced
+/// Failure guarded against: an upstream sends a second answer late on a reused connection, where
+/// the answer to the next request is expected. Its caller would receive the answer to a request of
+/// another caller.
+fn check(parts: &Parts, head: &AnswerHead, request_id: Option<&str>) -> Result<(), CallError> {
+    let is_replaced = parts.status == StatusCode::MISDIRECTED_REQUEST;
+    if head.not_run || is_replaced {
+        return Err(CallError {
+            kind: if is_replaced {
+                FailureKind::Replaced
             } else {
-                Fate::Rejected
+                FailureKind::Rejected
             },
-            why: format!("rejected with {}", parts.status.as_u16()),
+            reason: format!("rejected with {}", parts.status.as_u16()),
             timed_out: false,
         });
     }
     if head.request_id.as_deref() != request_id {
-        return Err(lost("answers another request".to_owned()));
+        return Err(lost(
+            "the answer carries the id of another request".to_owned(),
+        ));
     }
     if parts.status.is_success() && !head.has_proof {
-        return Err(lost("success without proof".to_owned()));
+        return Err(lost(
+            "success status without the upstream's proof header".to_owned(),
+        ));
     }
     Ok(())
 }
 
-fn not_sent(why: String) -> CallFailed {
-    CallFailed {
-        fate: Fate::NotSent,
-        why,
+fn not_sent(reason: String) -> CallError {
+    CallError {
+        kind: FailureKind::NotSent,
+        reason,
         timed_out: false,
     }
 }
 
-fn lost(why: String) -> CallFailed {
-    CallFailed {
-        fate: Fate::Lost,
-        why,
+fn lost(reason: String) -> CallError {
+    CallError {
+        kind: FailureKind::Lost,
+        reason,
         timed_out: false,
     }
 }
 
 impl Reply {
-    /// Reads the body whole; `None` if it breaks off, is too long or takes longer than `timeout`.
-    pub(crate) async fn whole(self, timeout: Duration) -> Option<Whole> {
+    /// Reads the whole body. Returns `None` if it breaks off, exceeds the size limit or takes
+    /// longer than `timeout`.
+    pub(crate) async fn buffer(self, timeout: Duration) -> Option<BufferedReply> {
         let Self {
             upstream,
             parts,
             mut body,
-            link,
-            links,
-            share,
+            connection,
+            connections,
+            quota,
             running,
         } = self;
         let read = compio::time::timeout(timeout, async {
@@ -289,7 +310,7 @@
                 if let Ok(data) = frame.ok()?.into_data() {
                     bytes.extend_from_slice(&data);
                 }
-                if bytes.len() > MAX_WHOLE_BYTES {
+                if bytes.len() > MAX_BUFFERED_BYTES {
                     return None;
                 }
             }
@@ -297,15 +318,15 @@
         });
         let body = read.await.ok()??;
         drop(running);
-        links.keep(&upstream.id, link, &parts.headers, share);
-        Some(Whole {
+        connections.put_back(&upstream.id, connection, &parts.headers, quota);
+        Some(BufferedReply {
             upstream: upstream.id.clone(),
             parts,
             body,
         })
     }
 
-    /// The next bytes of the body; `None` at its end.
+    /// Returns the next chunk of the body, or `None` at its end.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, hyper::Error>> {
         loop {
             match self.body.frame().await? {
@@ -318,13 +339,13 @@
         }
     }
 
-    /// The body was read to its end.
-    pub(crate) fn ended(self) {
-        self.links.keep(
+    /// Returns the connection to the pool after the whole body was read.
+    pub(crate) fn finish(self) {
+        self.connections.put_back(
             &self.upstream.id,
-            self.link,
+            self.connection,
             &self.parts.headers,
-            self.share,
+            self.quota,
         );
     }
 }
