--- a/examples/longrun/faults.rs
+++ b/examples/longrun/faults.rs
@@ -122,12 +122,12 @@
             restart_plain(harness, plain);
         }
         Fault::CutEngine => {
-            set_relay_knobs(harness, Kind::Engine, engine, json!({ "cut": true })).await;
+            set_relay_knobs(harness, RelayKind::Engine, engine, json!({ "cut": true })).await;
         }
         Fault::SlowEngine => {
-            set_relay_knobs(harness, Kind::Engine, engine, json!({ "delay_ms": n })).await;
+            set_relay_knobs(harness, RelayKind::Engine, engine, json!({ "delay_ms": n })).await;
             sleep_ms(ms).await;
-            set_relay_knobs(harness, Kind::Engine, engine, json!({})).await;
+            set_relay_knobs(harness, RelayKind::Engine, engine, json!({})).await;
         }
         Fault::CrossAnswers => engine_fault(harness, engine, "cross_answers", n).await,
         Fault::CutStreams => engine_fault(harness, engine, "cut_streams", n).await,
@@ -145,9 +145,9 @@
         Fault::DropLogReplies => platform_fault(harness, json!({ "drop_replies": n }), ms).await,
         Fault::PartitionFromLog => {
             let knobs = json!({ "refuse": true, "cut": true });
-            set_relay_knobs(harness, Kind::Platform, router, knobs).await;
+            set_relay_knobs(harness, RelayKind::Platform, router, knobs).await;
             sleep_ms(ms).await;
-            set_relay_knobs(harness, Kind::Platform, router, json!({})).await;
+            set_relay_knobs(harness, RelayKind::Platform, router, json!({})).await;
         }
         Fault::DrainEngine => drain_engine(harness, engine).await,
         Fault::Surge => surge(harness, rng.random()).await,
@@ -259,17 +259,17 @@
     post(harness.platform, "/knobs", "{}").await;
 }
 
-enum Kind {
+enum RelayKind {
     Engine,
     Platform,
 }
 
-async fn set_relay_knobs(harness: &Harness, kind: Kind, i: usize, knobs: Value) {
+async fn set_relay_knobs(harness: &Harness, kind: RelayKind, i: usize, knobs: Value) {
     let control = {
         let fleet = harness.fleet.borrow();
         let relays: &[Relay] = match kind {
-            Kind::Engine => &fleet.engine_relays,
-            Kind::Platform => &fleet.platform_relays,
+            RelayKind::Engine => &fleet.engine_relays,
+            RelayKind::Platform => &fleet.platform_relays,
         };
         relays[i].control
     };
@@ -355,12 +355,12 @@
 pub(crate) async fn clear_all(harness: &Harness) {
     post(harness.platform, "/knobs", "{}").await;
     for i in 0..harness.engines.len() {
-        set_relay_knobs(harness, Kind::Engine, i, json!({})).await;
+        set_relay_knobs(harness, RelayKind::Engine, i, json!({})).await;
         harness.fleet.borrow().engines[i].wake();
     }
     restart_exited(harness);
     for i in 0..harness.callers.len() {
-        set_relay_knobs(harness, Kind::Platform, i, json!({})).await;
+        set_relay_knobs(harness, RelayKind::Platform, i, json!({})).await;
         harness.fleet.borrow().routers[i].wake();
         let has_exited = harness.fleet.borrow_mut().routers[i].exited().is_some();
         if has_exited {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -24,21 +24,21 @@
 
 #[compio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let platform = Platform::bind(any).await?;
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let platform = Platform::bind(any_port).await?;
     let mut engines = Vec::new();
     for _ in 0..3 {
-        engines.push(Engine::bind(any, Knobs::default()).await?);
+        engines.push(Engine::bind(any_port, Knobs::default()).await?);
     }
     let mut routers = Vec::new();
     for i in 0..ROUTERS {
         routers.push(spawn_router(i, &platform).await?);
     }
     configure(&routers[0], &engines).await?;
-    ready(&routers, engines.len()).await?;
-    let first = entry(&routers[0]).await?;
-    println!("entry: {first}");
-    let answer = chat(&first, "Which part numbers fit a 2019 bottom bracket?").await?;
+    wait_until_ready(&routers, engines.len()).await?;
+    let addr = entry(&routers[0]).await?;
+    println!("entry: {addr}");
+    let answer = chat(&addr, "Which part numbers fit a 2019 bottom bracket?").await?;
     println!("{answer}");
     Ok(())
 }
@@ -77,7 +77,7 @@
 }
 
 /// Waits until every router lists all routers and all engines.
-async fn ready(routers: &[Router], engines: usize) -> Result<(), Box<dyn Error>> {
+async fn wait_until_ready(routers: &[Router], engines: usize) -> Result<(), Box<dyn Error>> {
     for router in routers {
         let mut operator = OperatorCaller::open(router.operator_addr, OPERATOR_KEY).await?;
         loop {
@@ -100,8 +100,8 @@
     let client = cyper::Client::new()?;
     let response = client.get(url)?.bearer_auth(ACCOUNT_KEY)?.send().await?;
     let reply: serde_json::Value = serde_json::from_slice(&response.bytes().await?)?;
-    let first = reply["addresses"][0]["addr"].as_str();
-    Ok(first
+    let addr = reply["addresses"][0]["addr"].as_str();
+    Ok(addr
         .ok_or("the entry response contains no address")?
         .to_owned())
 }
--- a/standins/src/cli.rs
+++ b/standins/src/cli.rs
@@ -84,7 +84,7 @@
     },
 }
 
-/// Runs the stand-in that the command line names.
+/// Runs the stand-in selected on the command line.
 ///
 /// # Errors
 /// Fails if the address can't be listened on or the knobs are not valid JSON.
--- a/standins/src/keyed.rs
+++ b/standins/src/keyed.rs
@@ -46,9 +46,9 @@
     /// No fault.
     #[default]
     None,
-    /// 503.
+    /// Status 503.
     Busy,
-    /// 429.
+    /// Status 429.
     Many,
     /// The connection is closed.
     Cut,
