--- a/examples/longrun/load.rs
+++ b/examples/longrun/load.rs
@@ -23,7 +23,7 @@
 const MAX_RETRY_DELAY_MS: u64 = 5_000;
 const CHATS_PER_CALLER: u32 = 4;
 const ENTRY_ATTEMPTS: usize = 4;
-/// Mean number of jobs per engine below which the balance is not sampled, as it says nothing.
+/// Minimum mean number of jobs per engine for a sample; with fewer, the ratio isn't meaningful.
 const MIN_JOBS_PER_ENGINE: usize = 2;
 
 /// Returns the knobs of an engine without faults.
