--- a/examples/longrun/faults.rs
+++ b/examples/longrun/faults.rs
@@ -233,7 +233,7 @@
     post(harness.engines[engine], "/knobs", &knobs.to_string()).await;
 }
 
-/// Lets two requests crash each engine that runs them, also when retried, then restarts the engines.
+/// Lets two requests crash each engine that runs them, also on retry, then restarts the engines.
 async fn crash_on_request(harness: &Harness, ms: u64) {
     harness.crash_requests_left.set(2);
     sleep_ms(ms).await;
