--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -1,8 +1,8 @@
-//! The tasks that claim keys, one task a slot.
+//! Tasks that claim keys, one task per slot.
 //!
-//! A lone claim is appended at once; the next group waits until the window since the last append
-//! has passed, so that a stream gets at most one append a window. While the log is down, claims are
-//! refused at once and nothing waits for it.
+//! A claim is appended immediately if the last append is at least one window ago. Otherwise claims
+//! are grouped until the window has passed, so that a stream gets at most one append per window.
+//! While the log is down, claims are refused immediately.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,52 +11,52 @@
 
 use crate::log::Log;
 use crate::log::claims::{self, SLOTS, Standing, Verdict};
-use crate::log::group::{Group, LogDown, Waiting};
+use crate::log::group::{Group, LogDown, PendingClaim};
 use crate::log::pace::RealTime;
 use crate::schema::records::Claim;
 use crate::schema::records::claim_record::Body;
 use crate::util::Clock;
 
-/// How often a log that was down is tried.
-const PROBE: Duration = Duration::from_millis(500);
-/// Claims and notes that wait for one slot.
-const CHANNEL: usize = 4_096;
+/// Interval between attempts to reach a log that is down.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Messages that may wait for one slot's task.
+const CHANNEL_CAPACITY: usize = 4_096;
 
-/// What the request path asks for.
+/// A message to a slot's task.
 enum Msg {
-    Claim(Waiting),
-    Note(Body),
-    Look(Look),
+    Claim(PendingClaim),
+    Append(Body),
+    Lookup(Lookup),
 }
 
-/// A question how a key stands.
-struct Look {
+/// A query for the state of a key.
+struct Lookup {
     key: String,
     key_ms: u64,
     reply: oneshot::Sender<Result<Standing, LogDown>>,
 }
 
-/// How claims are grouped and kept.
+/// Settings for the grouping of claims and their retention.
 #[derive(Clone, Copy, Debug)]
 pub struct Grouping {
-    /// Least time between two appends to one stream.
+    /// Minimum time between two appends to one stream.
     pub window: Duration,
-    /// How long the log surely keeps a record, in milliseconds.
+    /// The time for which the log keeps every record, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// A handle to the running tasks.
+/// A handle to the claim tasks.
 #[derive(Clone, Debug)]
 pub struct Claimant {
     slots: Arc<[mpsc::Sender<Msg>]>,
 }
 
 impl Claimant {
-    /// Starts one task a slot on the current runtime.
+    /// Starts one task per slot on the current runtime.
     pub fn spawn<L: Log + Clone + 'static>(log: &L, grouping: Grouping) -> Self {
         let clock = Clock::start();
         let start = |slot| {
-            let (tx, rx) = mpsc::channel(CHANNEL);
+            let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
             let stream = claims::stream(slot);
             let task = Task {
                 group: Group::new(
@@ -66,7 +66,7 @@
                     grouping.retention_ms,
                 ),
                 window: grouping.window,
-                last: None,
+                last_attempt: None,
             };
             compio::runtime::spawn(task.run(rx)).detach();
             tx
@@ -76,42 +76,42 @@
         }
     }
 
-    /// Appends `claim` of a key of time `key_ms` and reads it back.
+    /// Appends `claim` of a key with time `key_ms` and returns the verdict read back from the log.
     ///
     /// # Errors
-    /// [`LogDown`] when the claim surely doesn't hold the key and won't.
+    /// [`LogDown`] when the claim doesn't hold the key and never will.
     pub async fn claim(&self, claim: Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         let (reply, verdict) = oneshot::channel();
         let slot = self.slot(&claim.key);
-        let waiting = Waiting {
+        let pending = PendingClaim {
             claim,
             key_ms,
             reply,
         };
-        // A full channel means a log that is slower than the claims: refuse, don't queue deeper.
-        slot.try_send(Msg::Claim(waiting)).map_err(|_| LogDown)?;
+        // A full channel means that the log is slower than the claims: refuse instead of queueing.
+        slot.try_send(Msg::Claim(pending)).map_err(|_| LogDown)?;
         verdict.await.unwrap_or(Err(LogDown))
     }
 
-    /// How `key` of time `key_ms` stands, read anew from the log.
+    /// Reads the log and returns the state of `key` with time `key_ms`.
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
     pub async fn look(&self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
         let (reply, standing) = oneshot::channel();
-        let look = Look {
+        let lookup = Lookup {
             key: key.to_owned(),
             key_ms,
             reply,
         };
-        let sent = self.slot(key).try_send(Msg::Look(look));
+        let sent = self.slot(key).try_send(Msg::Lookup(lookup));
         sent.map_err(|_| LogDown)?;
         standing.await.unwrap_or(Err(LogDown))
     }
 
-    /// Appends a release or an outcome at the next occasion, however long the log is down.
+    /// Queues a release or an outcome to be appended with the next group, once the log is up.
     pub fn note(&self, key: &str, body: Body) {
-        if self.slot(key).try_send(Msg::Note(body)).is_err() {
+        if self.slot(key).try_send(Msg::Append(body)).is_err() {
             metrics::counter!("claim_notes_lost_total").increment(1);
         }
     }
@@ -122,14 +122,14 @@
     }
 }
 
-/// The router is stopping.
+/// The channel is closed because the router is stopping.
 struct Stopped;
 
 struct Task<L> {
     group: Group<L, RealTime>,
     window: Duration,
-    /// When the last group was appended, or the log last tried.
-    last: Option<Instant>,
+    /// When the last group was appended, or the last attempt was made to reach the log.
+    last_attempt: Option<Instant>,
 }
 
 impl<L: Log> Task<L> {
@@ -142,26 +142,27 @@
                 compio::time::sleep(self.remaining(self.window)).await;
             }
             let mut group = Vec::new();
-            let mut looks = Vec::new();
-            self.sort(msg, &mut group, &mut looks);
+            let mut lookups = Vec::new();
+            self.dispatch(msg, &mut group, &mut lookups);
             while let Ok(msg) = rx.try_recv() {
-                self.sort(Some(msg), &mut group, &mut looks);
+                self.dispatch(Some(msg), &mut group, &mut lookups);
             }
-            for look in looks {
-                let standing = self.group.look(&look.key, look.key_ms).await;
-                // The caller may have gone.
-                let _ = look.reply.send(standing);
+            for lookup in lookups {
+                let standing = self.group.lookup(&lookup.key, lookup.key_ms).await;
+                // The caller may have cancelled.
+                let _ = lookup.reply.send(standing);
             }
-            if !self.group.is_down() || self.remaining(PROBE).is_zero() {
-                self.turn(group).await;
+            if !self.group.is_down() || self.remaining(PROBE_INTERVAL).is_zero() {
+                self.process(group).await;
             }
         }
     }
 
-    /// The next message, or `None` when it is time to look at the log without one.
+    /// Returns the next message, or `None` when the log is due to be tried or records are due to be
+    /// appended.
     async fn next(&self, rx: &mut mpsc::Receiver<Msg>) -> Result<Option<Msg>, Stopped> {
-        let wait = match (self.group.is_down(), self.group.owes()) {
-            (true, _) => self.remaining(PROBE),
+        let wait = match (self.group.is_down(), self.group.has_queued()) {
+            (true, _) => self.remaining(PROBE_INTERVAL),
             (false, true) => self.remaining(self.window),
             (false, false) => return rx.recv().await.map(Some).ok_or(Stopped),
         };
@@ -174,34 +175,41 @@
         }
     }
 
-    /// What is left of `time` since the last group.
+    /// Returns how much of `time` is left since the last group.
     fn remaining(&self, time: Duration) -> Duration {
-        let left = self.last.and_then(|at| time.checked_sub(at.elapsed()));
+        let left = self
+            .last_attempt
+            .and_then(|at| time.checked_sub(at.elapsed()));
         left.unwrap_or_default()
     }
 
-    async fn turn(&mut self, group: Vec<Waiting>) {
-        let appended = self.group.turn(group).await;
+    async fn process(&mut self, group: Vec<PendingClaim>) {
+        let appended = self.group.process(group).await;
         if appended {
             metrics::counter!("claim_appends_total").increment(1);
         }
         if appended || self.group.is_down() {
-            self.last = Some(Instant::now());
+            self.last_attempt = Some(Instant::now());
         }
     }
 
-    fn sort(&mut self, msg: Option<Msg>, group: &mut Vec<Waiting>, looks: &mut Vec<Look>) {
+    fn dispatch(
+        &mut self,
+        msg: Option<Msg>,
+        group: &mut Vec<PendingClaim>,
+        lookups: &mut Vec<Lookup>,
+    ) {
         match msg {
-            Some(Msg::Claim(waiting)) if self.group.is_down() => {
-                // The caller may have gone.
-                let _ = waiting.reply.send(Err(LogDown));
+            Some(Msg::Claim(pending)) if self.group.is_down() => {
+                // The caller may have cancelled.
+                let _ = pending.reply.send(Err(LogDown));
             }
-            Some(Msg::Claim(waiting)) => group.push(waiting),
-            Some(Msg::Note(body)) => self.group.owe(body),
-            Some(Msg::Look(look)) if self.group.is_down() => {
-                let _ = look.reply.send(Err(LogDown));
+            Some(Msg::Claim(pending)) => group.push(pending),
+            Some(Msg::Append(body)) => self.group.enqueue(body),
+            Some(Msg::Lookup(lookup)) if self.group.is_down() => {
+                let _ = lookup.reply.send(Err(LogDown));
             }
-            Some(Msg::Look(look)) => looks.push(look),
+            Some(Msg::Lookup(lookup)) => lookups.push(lookup),
             None => {}
         }
     }
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of unrepeatable requests: who may run one, decided by the order of records in the log.
+//! Claims of non-idempotent requests: the order of records in the log decides which router may run
+//! a request.
 //!
-//! The first claim of a key holds it. It is let go only by its own release, which its claimant
-//! appends when surely no byte of the request left. A claim that lost, or that was released, never
-//! holds the key again, however late or often a copy of it lands: that guards against an append
-//! whose reply was lost and that lands after its claimant gave up.
+//! The first claim of a key holds it, until the release of that claim. The claimant appends the
+//! release only if no byte of the request was sent. A claim that lost or was released never holds
+//! the key again, no matter how late or how often a copy of it is appended: an append whose reply
+//! was lost may still take effect after its claimant gave up.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,25 +14,26 @@
 use crate::schema::records::{Claim, ClaimRecord, Outcome, Release};
 use crate::util::{self, Name};
 
-/// Streams over which keys are spread.
+/// Number of streams over which keys are distributed.
 ///
-/// Fixed in the code: two routers that disagreed on it would look for one key in two streams, and
-/// both would win. With one append a stream and window of 60 ms, eight streams stay below 134
-/// appends a second, whatever the number of routers.
+/// A constant, not a setting: two routers with different values would claim the same key in two
+/// streams, and both would win. With one append per stream per 60 ms window, eight streams stay
+/// below 134 appends per second, whatever the number of routers.
 pub const SLOTS: u64 = 8;
 
 /// The newest claim record this build understands.
 pub const SCHEMA: u32 = 1;
 
-/// Twice how far a router's wall clock may be from true time. Callers' clocks are checked against it.
+/// Twice the greatest error of a router's wall clock. The times in callers' keys may be ahead of a
+/// router's clock by this much.
 pub const CLOCK_MARGIN_MS: u64 = 60_000;
 
-/// The slot of `key`.
+/// Returns the slot of `key`.
 pub fn slot(key: &str) -> u64 {
     util::hash_parts(&[key]) % SLOTS
 }
 
-/// The stream that holds the claims of `slot`.
+/// Returns the name of the stream that holds the claims of `slot`.
 ///
 /// ```
 /// assert_eq!(cassiagrade::log::claims::stream(3), "claims-3");
@@ -40,61 +42,61 @@
     format!("claims-{slot}")
 }
 
-/// How a key stands after the records read so far.
+/// The state of a key after the records read so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Standing {
-    /// Nobody holds it.
+    /// No claim holds the key.
     #[default]
     Free,
-    /// This claim holds it; its request may be running.
+    /// This claim holds the key; its request may be running.
     Held(Claim),
-    /// It was run, or may have been.
+    /// The request ran, or may have run.
     Done(Claim, Outcome),
 }
 
-/// What became of one claim.
+/// The result of one claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It holds the key: its request may run, once.
+    /// The claim holds the key: its request may run once.
     Won,
-    /// It never will; this is how the key stands.
+    /// The claim will never hold the key, whose state is this.
     Lost(Standing),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Key {
+struct KeyEntry {
     standing: Standing,
-    /// Claims that never hold the key (again).
-    dead: HashMap<String, End>,
+    /// Claims that can't hold the key any more, by claim id.
+    ended: HashMap<String, EndReason>,
 }
 
-/// Why a claim never holds its key again.
+/// Why a claim can't hold its key any more.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
+enum EndReason {
     Lost,
     Released,
 }
 
-/// The claims of one slot, folded in log order.
+/// The claims of one slot, applied in the order of the log.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
-    keys: HashMap<Name, Key>,
-    /// When each key was first seen here, oldest first.
-    seen: VecDeque<(u64, Name)>,
+    keys: HashMap<Name, KeyEntry>,
+    /// The keys with the time at which each was first seen, oldest first.
+    first_seen: VecDeque<(u64, Name)>,
 }
 
 impl Claims {
-    /// Folds one record in; `now_ms` is the reader's monotonic clock.
+    /// Applies one record; `now_ms` is the reader's monotonic time.
     pub fn apply(&mut self, record: ClaimRecord, now_ms: u64) {
         match record.body {
-            Some(Body::Claim(claim)) => self.claim(claim, now_ms),
-            Some(Body::Release(release)) => self.release(&release, now_ms),
-            Some(Body::Outcome(outcome)) => self.outcome(outcome, now_ms),
+            Some(Body::Claim(claim)) => self.apply_claim(claim, now_ms),
+            Some(Body::Release(release)) => self.apply_release(&release, now_ms),
+            Some(Body::Outcome(outcome)) => self.apply_outcome(outcome, now_ms),
             None => {}
         }
     }
 
-    /// How `key` stands.
+    /// Returns the state of `key`.
     pub fn standing(&self, key: &str) -> Standing {
         self.keys
             .get(key)
@@ -102,12 +104,12 @@
             .unwrap_or_default()
     }
 
-    /// What became of `claim`, once it was read.
+    /// Returns the verdict on `claim`, or `None` until it has been read.
     pub fn verdict(&self, claim: &Claim) -> Option<Verdict> {
         let key = self.keys.get(claim.key.as_str())?;
         match &key.standing {
             Standing::Held(holder) if holder.id == claim.id => Some(Verdict::Won),
-            standing if key.dead.contains_key(&claim.id) => Some(Verdict::Lost(standing.clone())),
+            standing if key.ended.contains_key(&claim.id) => Some(Verdict::Lost(standing.clone())),
             Standing::Done(holder, _) if holder.id == claim.id => {
                 Some(Verdict::Lost(key.standing.clone()))
             }
@@ -115,44 +117,44 @@
         }
     }
 
-    /// Forgets keys first seen before `before_ms`. They must be too old to be claimed again.
+    /// Removes keys first seen before `before_ms`. They must be too old to be claimed again.
     pub fn forget(&mut self, before_ms: u64) {
-        while let Some((at, _)) = self.seen.front()
+        while let Some((at, _)) = self.first_seen.front()
             && *at < before_ms
         {
-            if let Some((_, key)) = self.seen.pop_front() {
+            if let Some((_, key)) = self.first_seen.pop_front() {
                 self.keys.remove(&key);
             }
         }
     }
 
-    /// Keys held in memory.
+    /// Returns the number of keys in memory.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// No key is held.
+    /// Whether no key is in memory.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    fn claim(&mut self, claim: Claim, now_ms: u64) {
-        let key = self.key(&claim.key, now_ms);
-        if key.dead.contains_key(&claim.id) && !planted(Plant::ForgetDead) {
+    fn apply_claim(&mut self, claim: Claim, now_ms: u64) {
+        let key = self.entry(&claim.key, now_ms);
+        if key.ended.contains_key(&claim.id) && !planted(Plant::ForgetDead) {
             return;
         }
         match &key.standing {
             Standing::Free => key.standing = Standing::Held(claim),
             Standing::Held(holder) | Standing::Done(holder, _) => {
                 if holder.id != claim.id {
-                    key.dead.insert(claim.id, End::Lost);
+                    key.ended.insert(claim.id, EndReason::Lost);
                 }
             }
         }
     }
 
-    fn release(&mut self, release: &Release, now_ms: u64) {
-        let key = self.key(&release.key, now_ms);
+    fn apply_release(&mut self, release: &Release, now_ms: u64) {
+        let key = self.entry(&release.key, now_ms);
         match &key.standing {
             Standing::Held(holder) if holder.id == release.id => key.standing = Standing::Free,
             Standing::Done(holder, _) => {
@@ -164,14 +166,15 @@
             }
             _ => {}
         }
-        key.dead.insert(release.id.clone(), End::Released);
+        key.ended.insert(release.id.clone(), EndReason::Released);
     }
 
-    fn outcome(&mut self, outcome: Outcome, now_ms: u64) {
-        let key = self.key(&outcome.key, now_ms);
-        // Not so for a claim that lost here: of a key that is too old by now, the winner's release
-        // may have expired before a late copy of its claim.
-        let released = key.dead.get(&outcome.id) == Some(&End::Released);
+    fn apply_outcome(&mut self, outcome: Outcome, now_ms: u64) {
+        let key = self.entry(&outcome.key, now_ms);
+        // A claim that lost here may have an outcome: if the key is too old by now, the release of an
+        // earlier claim may have expired while a late copy of that claim is still in the log and
+        // seems to hold the key.
+        let released = key.ended.get(&outcome.id) == Some(&EndReason::Released);
         invariant(!released, "a claim that was released has an outcome");
         if let Standing::Held(holder) = &key.standing
             && holder.id == outcome.id
@@ -180,11 +183,11 @@
         }
     }
 
-    fn key(&mut self, key: &str, now_ms: u64) -> &mut Key {
+    fn entry(&mut self, key: &str, now_ms: u64) -> &mut KeyEntry {
         if !self.keys.contains_key(key) {
             let name = Name::from(key);
-            self.seen.push_back((now_ms, name.clone()));
-            self.keys.insert(name, Key::default());
+            self.first_seen.push_back((now_ms, name.clone()));
+            self.keys.insert(name, KeyEntry::default());
         }
         self.keys.entry(key.into()).or_default()
     }
@@ -193,19 +196,19 @@
 /// Whether a key may still be claimed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyAge {
-    /// Every claim of it is surely still in the log.
+    /// Every claim of the key is still in the log.
     Usable,
-    /// An earlier claim may have expired.
+    /// An earlier claim of the key may have expired.
     TooOld,
-    /// Its time lies in the future by more than clocks may differ.
+    /// The key's time is further in the future than clocks may differ.
     Future,
 }
 
-/// Judges the time that a key carries.
+/// Checks whether a key with time `key_ms` is still usable.
 ///
-/// A claim of the key was appended no earlier than `key_ms` less the margin, and the log keeps it
-/// for `retention_ms`. This must be judged after the log was read: a router that pauses between
-/// judging and reading might find an earlier claim expired, and win.
+/// Claims of the key are appended no earlier than `key_ms` minus the margin, and the log keeps them
+/// for `retention_ms`. Check after reading the log: if a router paused between the check and the
+/// read, an earlier claim might expire in between, and a second claim would win.
 ///
 /// ```
 /// use cassiagrade::log::claims::{KeyAge, age};
--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -13,7 +13,7 @@
 use crate::log::claims::{self, CLOCK_MARGIN_MS, KeyAge, Standing, Verdict};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
-use crate::log::group::{Group, LogDown, Waiting};
+use crate::log::group::{Group, LogDown, PendingClaim};
 use crate::log::pace::{Now, Pace};
 use crate::log::slot;
 use crate::plant::{Plant, planted};
@@ -190,8 +190,8 @@
 /// One reader of the slot.
 struct Reader {
     group: Option<FakeGroup>,
-    turn: Option<Script<FakeGroup>>,
-    claims: Vec<Waiting>,
+    running: Option<Script<FakeGroup>>,
+    claims: Vec<PendingClaim>,
     notes: Vec<Body>,
 }
 
@@ -199,7 +199,7 @@
     fn new(log: FakeLog, clock: FakeClock) -> Self {
         Self {
             group: Some(Group::new(log, STREAM.to_owned(), clock, RETENTION_MS)),
-            turn: None,
+            running: None,
             claims: Vec::new(),
             notes: Vec::new(),
         }
@@ -209,25 +209,25 @@
         let Some(mut group) = self.group.take() else {
             return;
         };
-        self.notes.drain(..).for_each(|body| group.owe(body));
+        self.notes.drain(..).for_each(|body| group.enqueue(body));
         let claims = std::mem::take(&mut self.claims);
-        self.turn = Some(Box::pin(async move {
-            group.turn(claims).await;
+        self.running = Some(Box::pin(async move {
+            group.process(claims).await;
             group
         }));
         self.advance();
     }
 
     fn advance(&mut self) {
-        if let Some(group) = self.turn.as_mut().and_then(step) {
-            self.turn = None;
+        if let Some(group) = self.running.as_mut().and_then(step) {
+            self.running = None;
             self.group = Some(group);
         }
     }
 
     fn idle(&self) -> bool {
-        let owes = self.group.as_ref().is_some_and(Group::owes);
-        self.turn.is_none() && self.notes.is_empty() && self.claims.is_empty() && !owes
+        let has_queued = self.group.as_ref().is_some_and(Group::has_queued);
+        self.running.is_none() && self.notes.is_empty() && self.claims.is_empty() && !has_queued
     }
 }
 
@@ -328,7 +328,7 @@
         }
         let (reply, verdict) = oneshot::channel();
         request.stage = Stage::Asked(verdict);
-        self.readers[reader].claims.push(Waiting {
+        self.readers[reader].claims.push(PendingClaim {
             claim: request.claim.clone(),
             key_ms: key_ms(request.key),
             reply,
@@ -412,7 +412,7 @@
         self.readers[reader].begin();
         (0..after).for_each(|_| self.grant(host, Fault::None));
         self.grant(host, fault);
-        while self.readers[reader].turn.is_some() {
+        while self.readers[reader].running.is_some() {
             self.grant(host, Fault::None);
         }
         self.receive(at);
@@ -428,7 +428,7 @@
             let at = usize::try_from(host).unwrap();
             while !self.readers[at].idle() {
                 self.readers[at].begin();
-                while self.readers[at].turn.is_some() {
+                while self.readers[at].running.is_some() {
                     self.grant(host, Fault::None);
                 }
             }
--- a/src/log/config.rs
+++ b/src/log/config.rs
@@ -1,7 +1,7 @@
-//! The configuration: one state folded from one stream by one rule that all readers share.
+//! The configuration: a state derived from one stream by rules that all readers share.
 //!
-//! A change names the version it was made against. A racing change that no longer matches is
-//! rejected by every reader alike, so that two operators can't both be told "accepted".
+//! A change names the version that it was made against. If the state has another version by then,
+//! every reader rejects the change, so that of two concurrent changes only one is accepted.
 
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -19,69 +19,70 @@
 /// The newest record schema this build understands.
 pub const SCHEMA: u32 = 2;
 
-/// What became of one record.
+/// How a record was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// The change is in force; the state has this version.
+    /// The change is in force.
     Accepted {
-        /// Version after the change.
+        /// Version of the state after the change.
         version: u64,
     },
     /// The change was made against another version.
     Raced {
-        /// Version the state had.
+        /// Version of the state.
         version: u64,
-        /// Record id of the change that made that version.
+        /// Record id of the change that produced that version.
         winner: String,
-        /// Who made it.
+        /// Author of that change.
         author: String,
     },
-    /// A record that only newer builds understand: the fold stops before it.
+    /// The record has a newer schema than this build supports; the fold stops before it.
     Newer {
-        /// The schema it was written in.
+        /// Schema of the record.
         schema: u32,
     },
-    /// The change breaks a rule.
+    /// The change is invalid.
     Invalid {
-        /// Which rule, naming the field.
+        /// The field and why it is invalid.
         reason: String,
     },
-    /// A record this build has nothing to do with.
+    /// The record doesn't change the state.
     Skipped,
 }
 
-/// Folds the configuration stream.
+/// The state after applying the records of the configuration stream up to an offset.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     state: State,
 }
 
-/// What every record shows, whatever its schema.
+/// The part of a record that all schemas share.
 #[derive(Deserialize)]
 struct Envelope {
     schema: u32,
 }
 
 impl ConfigFold {
-    /// The state after the last record.
+    /// Returns the state after the last applied record.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The offset to read from next.
+    /// Returns the offset to read from next.
     pub fn next_offset(&self) -> u64 {
         self.state.offset
     }
 
-    /// A digest of the state, equal on all routers that stand at the same offset.
+    /// Returns a digest of the state, equal on all routers that have read up to the same offset.
     pub fn digest(&self) -> u64 {
         digest(&self.state)
     }
 
-    /// Folds the record at [`Self::next_offset`] in; any other is skipped.
+    /// Applies the record at [`Self::next_offset`]; skips a record at any other offset.
     ///
-    /// A record of a newer schema stops the fold before it: skipped, every change after it would
-    /// be rejected here and accepted by newer builds. The state before it stays in force.
+    /// A record with a newer schema isn't applied, and neither are later ones: if it were skipped,
+    /// this build would reject every later change that newer builds accept. The state before it
+    /// stays in force.
     pub fn apply(&mut self, entry: &Entry) -> Applied {
         if entry.offset != self.state.offset {
             return Applied::Skipped;
@@ -97,7 +98,7 @@
             return Applied::Skipped;
         };
         match record.body {
-            Some(Body::Change(change)) => self.try_change(&record.id, change),
+            Some(Body::Change(change)) => self.apply_change(&record.id, change),
             Some(Body::Snapshot(state)) if planted(Plant::SnapshotWins) => {
                 self.state = State {
                     offset: self.state.offset,
@@ -105,12 +106,12 @@
                 };
                 Applied::Skipped
             }
-            // Whoever reached this record by reading knows all that the snapshot covers.
+            // A reader that got here has already applied every record that the snapshot covers.
             Some(Body::Snapshot(_)) | None => Applied::Skipped,
         }
     }
 
-    /// Takes a state from a peer or a snapshot, if it is newer than one's own.
+    /// Replaces the state by that of a peer or a snapshot if that is newer; returns whether it was.
     pub fn restore(&mut self, state: State) -> bool {
         let newer = state.offset > self.state.offset || planted(Plant::TakeLower);
         if newer {
@@ -119,8 +120,8 @@
         newer
     }
 
-    /// Applies one change by the rule that all readers share.
-    pub(crate) fn try_change(&mut self, id: &str, change: Change) -> Applied {
+    /// Applies one change by the rules that all readers share.
+    pub(crate) fn apply_change(&mut self, id: &str, change: Change) -> Applied {
         let matches = change.against_version == self.state.version;
         if !matches && !planted(Plant::IgnoreVersion) {
             return Applied::Raced {
@@ -139,7 +140,7 @@
                 reason: invalid.to_string(),
             };
         }
-        fold_op(&mut self.state, op);
+        apply_op(&mut self.state, op);
         self.state.version += 1;
         id.clone_into(&mut self.state.last_change);
         self.state.last_author = change.author;
@@ -149,18 +150,18 @@
     }
 }
 
-/// A digest of `state`.
+/// Returns a digest of `state`.
 pub fn digest(state: &State) -> u64 {
     serde_json::to_vec(state).map_or(0, |bytes| xxh3_64(&bytes))
 }
 
-/// The record that `text` holds, if this build understands it.
+/// Parses a record; returns `None` if it is malformed or has a newer schema.
 pub fn parse(text: &str) -> Option<Record> {
     let record: Record = serde_json::from_str(text).ok()?;
     (record.schema <= SCHEMA).then_some(record)
 }
 
-fn fold_op(state: &mut State, op: Op) {
+fn apply_op(state: &mut State, op: Op) {
     match op {
         Op::PutAccount(v) => put(&mut state.accounts, v, |v| &v.name),
         Op::DeleteAccount(name) => state.accounts.retain(|v| v.name != name),
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -11,7 +11,7 @@
 
 use crate::log::config::{self, Applied, STREAM};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
-use crate::log::follow::{ApplyError, ApplyOutcome, Follower, Standing, StatePeers};
+use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, Follower, Standing};
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
 use crate::log::pace::{Now, Pace};
 use crate::plant::Plant;
@@ -147,8 +147,8 @@
     answer: Rc<Cell<Option<u8>>>,
 }
 
-impl StatePeers for FakePeers {
-    async fn ask(&self, _: ConfigAsk) -> Option<ConfigGive> {
+impl ConfigPeers for FakePeers {
+    async fn fetch(&self, _: ConfigAsk) -> Option<ConfigGive> {
         let states = self.states.borrow();
         let at = usize::from(self.answer.get()?);
         let state = states.get(at % states.len().max(1))?;
@@ -231,13 +231,13 @@
         self.advance(at);
     }
 
-    fn renew(&mut self, at: usize) {
+    fn write_snapshot(&mut self, at: usize) {
         let Some(mut follower) = self.routers[at].follower.take() else {
             return;
         };
         self.routers[at].work = Some(Box::pin(async move {
             // A snapshot that failed is renewed at the next turn.
-            let _ = follower.renew().await;
+            let _ = follower.write_snapshot().await;
             (follower, None)
         }));
         self.advance(at);
@@ -395,7 +395,7 @@
                 behind,
                 host,
             } => world.apply(at(router), behind, host),
-            Step::Renew { router } => world.renew(at(router)),
+            Step::Renew { router } => world.write_snapshot(at(router)),
             Step::Grant {
                 router,
                 count,
--- a/src/log/fake_tests.rs
+++ b/src/log/fake_tests.rs
@@ -174,17 +174,17 @@
                 detail: "refused".to_owned(),
             });
         }
-        let unsettled = Err(LogError::Unsettled {
+        let indeterminate = Err(LogError::Indeterminate {
             detail: "lost".to_owned(),
         });
         match fault {
             Fault::ReplyLost => {
                 self.store(name, records);
-                unsettled
+                indeterminate
             }
             Fault::Delayed => {
                 self.in_network.push((name.to_owned(), records));
-                unsettled
+                indeterminate
             }
             Fault::Doubled => {
                 let offset = self.store(name, records.clone());
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -1,6 +1,7 @@
-//! Follows the configuration stream: reads, appends changes, settles them, renews the snapshot.
+//! Reader and writer of the configuration stream: reads records, appends and confirms changes,
+//! writes snapshots.
 //!
-//! No timers of its own: pauses come in through [`Pace`], so that a test can hold any step.
+//! All sleeping goes through [`Pace`], so that tests can suspend any step.
 
 use std::time::Duration;
 
@@ -16,34 +17,35 @@
 use crate::schema::peer::{ConfigAsk, ConfigGive};
 
 const READ_MAX: usize = 256;
-const SETTLE_READS: u32 = 20;
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
+const CONFIRM_READS: u32 = 20;
+const CONFIRM_PAUSE: Duration = Duration::from_millis(50);
 
-/// Asks other routers for their state.
-pub trait StatePeers {
-    /// One peer's answer, if one answers.
-    fn ask(&self, ask: ConfigAsk) -> impl Future<Output = Option<ConfigGive>>;
+/// Fetches the configuration from other routers.
+pub trait ConfigPeers {
+    /// Returns one peer's reply, or `None` if no peer replies.
+    fn fetch(&self, fetch: ConfigAsk) -> impl Future<Output = Option<ConfigGive>>;
 }
 
-/// What an operator is told.
+/// The result of a change, as reported to the operator.
 #[derive(Clone, Debug)]
 pub struct ApplyOutcome {
-    /// What every reader makes of the change.
+    /// How every reader of the stream applies the change.
     pub applied: Applied,
-    /// Where the change stands in the stream.
+    /// Offset of the change in the stream.
     pub offset: u64,
 }
 
-/// Why the outcome of a change isn't known.
+/// Why a change has no known result.
 #[derive(Debug, Snafu)]
 pub enum ApplyError {
-    /// The change surely isn't in force and won't be.
+    /// The change isn't in force and never will be.
     #[snafu(display("not applied: {detail}"))]
     NotApplied {
         /// What failed.
         detail: String,
     },
-    /// The change may be in force, or come into force; list the configuration to see.
+    /// The change may be in force, or may come into force later; listing the configuration shows
+    /// whether it is.
     #[snafu(display("outcome unknown: {detail}"))]
     Unknown {
         /// What failed.
@@ -51,26 +53,27 @@
     },
 }
 
-/// How well a router knows the configuration.
+/// How current the configuration of a router is.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum Standing {
-    /// Nothing was read yet.
+    /// Nothing has been read yet.
     #[default]
     Starting,
-    /// Read to the end of the stream at the last try.
+    /// The last attempt read to the end of the stream.
     Current,
     /// The log can't be read; the last accepted state stays in force.
     LogDown,
-    /// Records expired unread and no snapshot covers them; the last state stays in force.
+    /// Records expired before they were read, and no snapshot covers them; the last state stays in
+    /// force.
     Gap,
-    /// The next record is of a newer schema; the state before it stays in force.
+    /// The next record has a newer schema; the state before it stays in force.
     Newer {
-        /// That schema.
+        /// Schema of the record.
         schema: u32,
     },
 }
 
-/// One router's reader and writer of the configuration.
+/// One router's reader and writer of the configuration stream.
 #[derive(Debug)]
 pub struct Follower<L, S, P> {
     log: L,
@@ -82,8 +85,8 @@
     snapshot: Option<u64>,
 }
 
-impl<L: Log, S: StatePeers, P: Pace> Follower<L, S, P> {
-    /// Starts with nothing read.
+impl<L: Log, S: ConfigPeers, P: Pace> Follower<L, S, P> {
+    /// Creates a follower that has read nothing.
     pub fn new(log: L, peers: S, pace: P) -> Self {
         Self {
             log,
@@ -95,78 +98,84 @@
         }
     }
 
-    /// The state in force here.
+    /// Returns the state in force on this router.
     pub fn state(&self) -> &State {
         self.fold.state()
     }
 
-    /// A digest of the state.
+    /// Returns a digest of the state.
     pub fn digest(&self) -> u64 {
         self.fold.digest()
     }
 
-    /// How well the state is known.
+    /// Returns how current the state is.
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
 
-    /// Offset of the newest snapshot read.
+    /// Returns the offset of the newest snapshot read.
     pub fn snapshot(&self) -> Option<u64> {
         self.snapshot
     }
 
-    /// Reads what is new, or asks a peer when the log can't tell. `note` hears of each record.
-    pub async fn poll(&mut self, note: &mut impl FnMut(&Applied, &State)) {
-        let read = self.follow(None, note).await;
+    /// Reads new records, or fetches the state from a peer when the log is down or has a gap. Calls
+    /// `on_record` for each record.
+    pub async fn poll(&mut self, on_record: &mut impl FnMut(&Applied, &State)) {
+        let read = self.follow(None, on_record).await;
         if let Err(e) = read {
             self.standing = Standing::LogDown;
-            log::warn!("configuration can't be read: {e}");
+            log::warn!("stream {STREAM} can't be read, keeping the current configuration: {e}");
         }
-        // A peer of a newer build has nothing for one that stands before a newer record.
+        // Not for `Standing::Newer`: a peer with a newer build has no state that this build can read.
         if matches!(self.standing, Standing::LogDown | Standing::Gap) {
-            self.ask_peer().await;
+            self.fetch_from_peer().await;
         }
     }
 
-    /// Appends `change` and reads until it is found.
+    /// Appends `change` and reads the stream until the change is found.
     ///
     /// # Errors
-    /// When the outcome isn't known or the change surely wasn't appended.
+    /// When the change wasn't appended, or when it isn't known whether it was.
     pub async fn apply(
         &mut self,
         change: Change,
-        note: &mut impl FnMut(&Applied, &State),
+        on_record: &mut impl FnMut(&Applied, &State),
     ) -> Result<ApplyOutcome, ApplyError> {
-        let refuse = |detail: &dyn ToString| ApplyError::NotApplied {
+        let not_applied = |detail: &dyn ToString| ApplyError::NotApplied {
             detail: detail.to_string(),
         };
-        self.follow(None, note).await.map_err(|e| refuse(&e))?;
+        self.follow(None, on_record)
+            .await
+            .map_err(|e| not_applied(&e))?;
         if self.standing != Standing::Current {
-            return Err(refuse(&"this router doesn't have the newest configuration"));
+            return Err(not_applied(
+                &"this router hasn't read the stream to its end",
+            ));
         }
-        if let Some(refused) = self.refused(&change) {
+        if let Some(rejection) = self.rejection(&change) {
             let offset = self.fold.next_offset();
             return Ok(ApplyOutcome {
-                applied: refused,
+                applied: rejection,
                 offset,
             });
         }
         let id = Uuid::now_v7().to_string();
         match self.append(&id, Body::Change(change)).await {
-            Ok(_) => self.settle(&id, note).await,
-            Err(e @ LogError::Unsettled { .. }) if planted(Plant::LostIsNotApplied) => {
-                Err(refuse(&e))
+            Ok(_) => self.confirm(&id, on_record).await,
+            Err(e @ LogError::Indeterminate { .. }) if planted(Plant::LostIsNotApplied) => {
+                Err(not_applied(&e))
             }
-            Err(LogError::Unsettled { .. }) => self.settle(&id, note).await,
-            Err(e @ LogError::Unavailable { .. }) => Err(refuse(&e)),
+            Err(LogError::Indeterminate { .. }) => self.confirm(&id, on_record).await,
+            Err(e @ LogError::Unavailable { .. }) => Err(not_applied(&e)),
         }
     }
 
-    /// Appends the state, so that it outlives the records that made it.
+    /// Appends a snapshot of the state, so that the state is still available when the records that
+    /// produced it have expired.
     ///
     /// # Errors
-    /// As [`Log::append`]; a snapshot that lands late or twice harms nobody.
-    pub async fn renew(&mut self) -> Result<(), LogError> {
+    /// As [`Log::append`]. A snapshot that is appended late or twice does no harm.
+    pub async fn write_snapshot(&mut self) -> Result<(), LogError> {
         let state = self.fold.state().clone();
         if state.version == 0 {
             return Ok(());
@@ -175,10 +184,10 @@
         self.append(&id, Body::Snapshot(state)).await.map(|_| ())
     }
 
-    /// What any reader would make of `change` now, if that is a rejection.
-    fn refused(&self, change: &Change) -> Option<Applied> {
+    /// Returns how readers would reject `change` now, or `None` if they would accept it.
+    fn rejection(&self, change: &Change) -> Option<Applied> {
         let mut fold = self.fold.clone();
-        let applied = fold.try_change("", change.clone());
+        let applied = fold.apply_change("", change.clone());
         let accepted = matches!(applied, Applied::Accepted { .. });
         (!accepted).then_some(applied)
     }
@@ -195,34 +204,34 @@
         self.log.append(STREAM, vec![text]).await
     }
 
-    async fn settle(
+    async fn confirm(
         &mut self,
         id: &str,
-        note: &mut impl FnMut(&Applied, &State),
+        on_record: &mut impl FnMut(&Applied, &State),
     ) -> Result<ApplyOutcome, ApplyError> {
-        let mut detail = "the record didn't appear".to_owned();
-        for _ in 0..SETTLE_READS {
-            match self.follow(Some(id), note).await {
+        let mut detail = "the appended record wasn't found in the stream".to_owned();
+        for _ in 0..CONFIRM_READS {
+            match self.follow(Some(id), on_record).await {
                 Ok(Some(outcome)) => return Ok(outcome),
                 Ok(None) => {}
                 Err(e) => detail = e.to_string(),
             }
-            self.pace.pause(SETTLE_PAUSE).await;
+            self.pace.pause(CONFIRM_PAUSE).await;
         }
         Err(ApplyError::Unknown { detail })
     }
 
-    /// Reads to the end of the stream; tells what became of the record `id`.
+    /// Reads to the end of the stream; returns the result of the change with record id `id`.
     async fn follow(
         &mut self,
         id: Option<&str>,
-        note: &mut impl FnMut(&Applied, &State),
+        on_record: &mut impl FnMut(&Applied, &State),
     ) -> Result<Option<ApplyOutcome>, LogError> {
         let mut found = None;
         loop {
             let from = self.fold.next_offset();
             let batch = self.log.read(STREAM, from, READ_MAX).await?;
-            if batch.first > from && !self.rebase(&batch).await? {
+            if batch.first > from && !self.restore_snapshot(&batch).await? {
                 self.standing = Standing::Gap;
                 return Ok(found);
             }
@@ -230,12 +239,12 @@
                 continue;
             }
             for entry in &batch.entries {
-                let applied = self.take(entry, note);
+                let applied = self.apply_entry(entry, on_record);
                 if let Applied::Newer { schema } = applied {
                     self.standing = Standing::Newer { schema };
                     return Ok(found);
                 }
-                let own = id.is_some_and(|id| is_record(&entry.text, id));
+                let own = id.is_some_and(|id| has_id(&entry.text, id));
                 if own && found.is_none() {
                     let offset = entry.offset;
                     found = Some(ApplyOutcome { applied, offset });
@@ -248,7 +257,11 @@
         }
     }
 
-    fn take(&mut self, entry: &Entry, note: &mut impl FnMut(&Applied, &State)) -> Applied {
+    fn apply_entry(
+        &mut self,
+        entry: &Entry,
+        on_record: &mut impl FnMut(&Applied, &State),
+    ) -> Applied {
         let before = (self.fold.next_offset(), self.fold.state().version);
         let applied = self.fold.apply(entry);
         let after = (self.fold.next_offset(), self.fold.state().version);
@@ -256,14 +269,15 @@
         if is_snapshot(&entry.text) {
             self.snapshot = Some(entry.offset);
         }
-        note(&applied, self.fold.state());
+        on_record(&applied, self.fold.state());
         applied
     }
 
-    /// Records expired unread: takes the newest snapshot that is still joined to the end of the
-    /// stream by kept records. Applying those records to one's own state instead would leave out
-    /// what the expired ones changed, and no later record would show it.
-    async fn rebase(&mut self, batch: &Batch) -> Result<bool, LogError> {
+    /// Restores the state after records expired unread, from the newest snapshot from which kept
+    /// records lead to the end of the stream without a gap. Applying the kept records to the current
+    /// state instead would leave out the changes of the expired ones, and no later record would
+    /// reveal it.
+    async fn restore_snapshot(&mut self, batch: &Batch) -> Result<bool, LogError> {
         if planted(Plant::ApplyOverGap) {
             let state = State {
                 offset: batch.first,
@@ -276,7 +290,7 @@
         loop {
             let batch = self.log.read(STREAM, from, READ_MAX).await?;
             if batch.first > from {
-                // More expired meanwhile: what was found may no longer be joined to the rest.
+                // More records expired meanwhile, so a gap may now follow the snapshot found.
                 best = best.filter(|s| s.offset >= batch.first);
             }
             for entry in &batch.entries {
@@ -298,21 +312,23 @@
         Ok(best.is_some_and(|state| self.fold.restore(state)))
     }
 
-    /// Takes a peer's state if it is newer and whole.
-    async fn ask_peer(&mut self) {
-        let ask = ConfigAsk {
+    /// Fetches a peer's state and takes it if it is newer and matches its digest.
+    async fn fetch_from_peer(&mut self) {
+        let fetch = ConfigAsk {
             have_offset: self.fold.next_offset(),
             have_digest: self.fold.digest(),
         };
-        let same_offset = ask.have_offset;
-        let Some(give) = self.peers.ask(ask).await else {
+        let same_offset = fetch.have_offset;
+        let Some(give) = self.peers.fetch(fetch).await else {
             return;
         };
         match give.state {
             Some(state) if config::digest(&state) == give.digest => {
                 self.fold.restore(state);
             }
-            Some(_) => log::warn!("a peer's configuration doesn't match its digest"),
+            Some(_) => log::warn!(
+                "a peer's configuration doesn't match its digest; keeping the state at offset {same_offset}"
+            ),
             // A router that has read nothing has no digest to compare.
             None if give.offset == same_offset && same_offset > 0 => {
                 invariant(
@@ -325,7 +341,7 @@
     }
 }
 
-fn is_record(text: &str, id: &str) -> bool {
+fn has_id(text: &str, id: &str) -> bool {
     config::parse(text).is_some_and(|r| r.id == id)
 }
 
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -1,6 +1,7 @@
-//! One group of claims at a time: read, append what is open, read back, answer.
+//! Processes claims in groups: reads the stream, appends the undecided claims, reads them back and
+//! answers.
 //!
-//! Time comes in through [`Pace`], so that a test can hold any step as long as it likes.
+//! All time comes from [`Pace`], so that tests can suspend any step.
 
 use std::time::Duration;
 
@@ -15,168 +16,170 @@
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, Release};
 
-/// Reads after an append before its claims are given up.
-const SETTLE_READS: u32 = 4;
-const SETTLE_PAUSE: Duration = Duration::from_millis(25);
-/// Records kept for a log that is down; the oldest are given up first.
-const OWED_MAX: usize = 16_384;
+/// Number of reads after an append before claims that weren't found are abandoned.
+const CONFIRM_READS: u32 = 4;
+const CONFIRM_PAUSE: Duration = Duration::from_millis(25);
+/// Maximum number of records queued while the log is down; the oldest are dropped first.
+const MAX_QUEUED: usize = 16_384;
 
-/// The log couldn't be asked. Nothing was claimed, or the claim was given up for good.
+/// The log can't be reached. Nothing was claimed, or the claim was abandoned for good.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("the log can't be reached"))]
 pub struct LogDown;
 
-/// A claim, and where its verdict goes.
+/// A claim that waits for its verdict.
 #[derive(Debug)]
-pub struct Waiting {
-    /// What is to be claimed.
+pub struct PendingClaim {
+    /// The claim to append.
     pub claim: Claim,
-    /// The time that its key carries.
+    /// The time in the key.
     pub key_ms: u64,
-    /// Takes the verdict; its receiver may have gone.
+    /// Receives the verdict, unless the receiver was dropped.
     pub reply: oneshot::Sender<Result<Verdict, LogDown>>,
 }
 
-impl Waiting {
+impl PendingClaim {
     fn answer(self, verdict: Result<Verdict, LogDown>) {
-        // A receiver that went sends nothing: its claim stands until it expires.
+        // A dropped receiver sends no request; its claim holds the key until the claim expires.
         let _ = self.reply.send(verdict);
     }
 }
 
-/// The claims of one slot on their way to the log.
+/// Claims of one slot that are being appended to the log.
 #[derive(Debug)]
 pub struct Group<L, P> {
     slot: Slot<L>,
     pace: P,
     retention_ms: u64,
-    /// Notes not yet appended.
-    owed: Vec<Body>,
+    /// Releases and outcomes to append.
+    queued: Vec<Body>,
     down: bool,
 }
 
 impl<L: Log, P: Pace> Group<L, P> {
-    /// Starts with nothing read.
+    /// Creates a group of which nothing has been read.
     pub fn new(log: L, stream: String, pace: P, retention_ms: u64) -> Self {
         Self {
             slot: Slot::new(log, stream),
             pace,
             retention_ms,
-            owed: Vec::new(),
+            queued: Vec::new(),
             down: false,
         }
     }
 
-    /// The last call to the log failed.
+    /// Whether the last call to the log failed.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Notes wait to be appended.
-    pub fn owes(&self) -> bool {
-        !self.owed.is_empty()
+    /// Whether releases or outcomes wait to be appended.
+    pub fn has_queued(&self) -> bool {
+        !self.queued.is_empty()
     }
 
-    /// How `key` stands after what was read.
+    /// Returns the state of `key` after the records read so far.
     pub fn standing(&self, key: &str) -> Standing {
         self.slot.standing(key)
     }
 
-    /// Takes a release or an outcome, to be appended with the next group.
-    pub fn owe(&mut self, body: Body) {
-        if self.owed.len() >= OWED_MAX {
+    /// Queues a release or an outcome to be appended with the next group.
+    pub fn enqueue(&mut self, body: Body) {
+        if self.queued.len() >= MAX_QUEUED {
             metrics::counter!("claim_notes_lost_total").increment(1);
-            self.owed.remove(0);
+            self.queued.remove(0);
         }
-        self.owed.push(body);
+        self.queued.push(body);
     }
 
-    /// How `key` of time `key_ms` stands now.
+    /// Reads the log and returns the state of `key` with time `key_ms`.
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn look(&mut self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
+    pub async fn lookup(&mut self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
         let pace = &self.pace;
-        match self.slot.cover(key_ms, || pace.now()).await {
+        match self.slot.ensure_covered(key_ms, || pace.now()).await {
             Ok(()) => Ok(self.slot.standing(key)),
             Err(e) => {
-                self.fail(&e, Vec::new());
+                self.refuse_all(&e, Vec::new());
                 Err(LogDown)
             }
         }
     }
 
-    /// Settles one group. Tells whether anything was appended.
-    pub async fn turn(&mut self, group: Vec<Waiting>) -> bool {
+    /// Processes one group of claims. Returns whether it appended anything.
+    pub async fn process(&mut self, group: Vec<PendingClaim>) -> bool {
         let mono_ms = self.pace.now().mono_ms;
         self.slot.forget(mono_ms.saturating_sub(self.retention_ms));
-        if !self.may_append_at_once(&group) {
-            let oldest_ms = group.iter().map(|w| w.key_ms).min().unwrap_or(u64::MAX);
+        if !self.can_append_without_reading(&group) {
+            let oldest_ms = group.iter().map(|p| p.key_ms).min().unwrap_or(u64::MAX);
             let pace = &self.pace;
-            if let Err(e) = self.slot.cover(oldest_ms, || pace.now()).await {
-                self.fail(&e, group);
+            if let Err(e) = self.slot.ensure_covered(oldest_ms, || pace.now()).await {
+                self.refuse_all(&e, group);
                 return false;
             }
             self.down = false;
         }
-        let open = self.answer_known(group);
-        let owed = std::mem::take(&mut self.owed);
-        if open.is_empty() && owed.is_empty() {
+        let undecided = self.answer_decided(group);
+        let queued = std::mem::take(&mut self.queued);
+        if undecided.is_empty() && queued.is_empty() {
             return false;
         }
-        let claims = open.iter().map(|w| Body::Claim(w.claim.clone()));
-        let bodies = owed.iter().cloned().chain(claims).collect();
+        let claims = undecided.iter().map(|w| Body::Claim(w.claim.clone()));
+        let bodies = queued.iter().cloned().chain(claims).collect();
         match self.slot.append(bodies).await {
-            Ok(end) => self.settle(open, Some(end)).await,
+            Ok(end) => self.confirm(undecided, Some(end)).await,
             Err(e @ LogError::Unavailable { .. }) => {
-                self.owed = owed;
-                self.fail(&e, open);
+                self.queued = queued;
+                self.refuse_all(&e, undecided);
             }
-            Err(LogError::Unsettled { .. }) => {
-                // Notes may be appended twice: a copy changes nothing.
-                self.owed = owed;
-                self.settle(open, None).await;
+            Err(LogError::Indeterminate { .. }) => {
+                // The records may be appended twice: a copy has no effect.
+                self.queued = queued;
+                self.confirm(undecided, None).await;
             }
         }
         true
     }
 
-    /// Keys that are free as far as was read are claimed without reading first: reading back decides
-    /// all the same, and a call is saved. A key that another claim holds is read for anew, for it
-    /// may have been released or run since.
-    fn may_append_at_once(&self, group: &[Waiting]) -> bool {
-        let free = |w: &Waiting| self.slot.standing(&w.claim.key) == Standing::Free;
-        let covered = |w: &Waiting| self.slot.covers(w.key_ms);
-        !self.down && group.iter().all(|w| covered(w) && free(w))
+    /// Whether the group can be appended without reading first, which saves a call: reading back
+    /// decides in any case. Not if a key is held by another claim, since it may have been released
+    /// or completed in the meantime.
+    fn can_append_without_reading(&self, group: &[PendingClaim]) -> bool {
+        let free = |p: &PendingClaim| self.slot.standing(&p.claim.key) == Standing::Free;
+        let covered = |p: &PendingClaim| self.slot.covers(p.key_ms);
+        !self.down && group.iter().all(|p| covered(p) && free(p))
     }
 
-    /// Answers the claims of keys that aren't free, and returns the others.
-    fn answer_known(&self, group: Vec<Waiting>) -> Vec<Waiting> {
-        let mut open = Vec::with_capacity(group.len());
-        for waiting in group {
-            let verdict = self.slot.verdict(&waiting.claim, waiting.key_ms);
-            let standing = self.slot.standing(&waiting.claim.key);
+    /// Answers the claims of keys that aren't free; returns the rest.
+    fn answer_decided(&self, group: Vec<PendingClaim>) -> Vec<PendingClaim> {
+        let mut undecided = Vec::with_capacity(group.len());
+        for pending in group {
+            let verdict = self.slot.verdict(&pending.claim, pending.key_ms);
+            let standing = self.slot.standing(&pending.claim.key);
             match (verdict, standing) {
-                (Some(verdict), _) => waiting.answer(Ok(verdict)),
-                (None, Standing::Free) => open.push(waiting),
-                (None, standing) => waiting.answer(Ok(Verdict::Lost(standing))),
+                (Some(verdict), _) => pending.answer(Ok(verdict)),
+                (None, Standing::Free) => undecided.push(pending),
+                (None, standing) => pending.answer(Ok(Verdict::Lost(standing))),
             }
         }
-        open
+        undecided
     }
 
-    /// Reads until every claim is found; gives up those that aren't.
-    async fn settle(&mut self, mut open: Vec<Waiting>, end: Option<u64>) {
+    /// Reads until every claim is found; abandons those that aren't.
+    async fn confirm(&mut self, mut undecided: Vec<PendingClaim>, end: Option<u64>) {
         if planted(Plant::TrustAppend) && end.is_some() {
-            open.into_iter().for_each(|w| w.answer(Ok(Verdict::Won)));
+            undecided
+                .into_iter()
+                .for_each(|p| p.answer(Ok(Verdict::Won)));
             return;
         }
-        if open.is_empty() {
+        if undecided.is_empty() {
             return;
         }
-        for round in 0..SETTLE_READS {
+        for round in 0..CONFIRM_READS {
             if round > 0 {
-                self.pace.pause(SETTLE_PAUSE).await;
+                self.pace.pause(CONFIRM_PAUSE).await;
             }
             let pace = &self.pace;
             let read = self.slot.catch_up(&|| pace.now()).await;
@@ -184,45 +187,46 @@
             if read.is_err() {
                 continue;
             }
-            open = self.answer_settled(open);
+            undecided = self.answer_confirmed(undecided);
             let all_read = end.is_none_or(|end| self.slot.next_offset() >= end);
-            if open.is_empty() && all_read {
+            if undecided.is_empty() && all_read {
                 return;
             }
         }
-        for waiting in open {
-            self.give_up(waiting);
+        for pending in undecided {
+            self.abandon(pending);
         }
     }
 
-    fn answer_settled(&self, open: Vec<Waiting>) -> Vec<Waiting> {
-        let mut left = Vec::new();
-        for waiting in open {
-            match self.slot.verdict(&waiting.claim, waiting.key_ms) {
-                Some(verdict) => waiting.answer(Ok(verdict)),
-                None => left.push(waiting),
+    fn answer_confirmed(&self, undecided: Vec<PendingClaim>) -> Vec<PendingClaim> {
+        let mut remaining = Vec::new();
+        for pending in undecided {
+            match self.slot.verdict(&pending.claim, pending.key_ms) {
+                Some(verdict) => pending.answer(Ok(verdict)),
+                None => remaining.push(pending),
             }
         }
-        left
+        remaining
     }
 
-    /// The claim may still land. Its release makes it harmless, whichever of the two lands first;
-    /// its claimant is told that it doesn't hold the key, and so sends nothing.
-    fn give_up(&mut self, waiting: Waiting) {
+    /// Abandons a claim that may still be appended. Queues its release, which makes the claim
+    /// ineffective even if the claim is appended later, and answers [`LogDown`], so that the claimant
+    /// sends nothing.
+    fn abandon(&mut self, pending: PendingClaim) {
         if !planted(Plant::GiveUpSilently) {
-            self.owe(Body::Release(Release {
-                id: waiting.claim.id.clone(),
-                key: waiting.claim.key.clone(),
+            self.enqueue(Body::Release(Release {
+                id: pending.claim.id.clone(),
+                key: pending.claim.key.clone(),
             }));
         }
-        waiting.answer(Err(LogDown));
+        pending.answer(Err(LogDown));
     }
 
-    fn fail(&mut self, e: &LogError, group: Vec<Waiting>) {
+    fn refuse_all(&mut self, e: &LogError, group: Vec<PendingClaim>) {
         if !self.down {
-            log::warn!("claims are refused: {e}");
+            log::warn!("claims are refused until the log can be reached again: {e}");
         }
         self.down = true;
-        group.into_iter().for_each(|w| w.answer(Err(LogDown)));
+        group.into_iter().for_each(|p| p.answer(Err(LogDown)));
     }
 }
--- a/src/log/keeper.rs
+++ b/src/log/keeper.rs
@@ -1,5 +1,5 @@
-//! The task that owns the configuration: it follows the stream, appends operators' changes, renews
-//! the snapshot and publishes what is in force.
+//! The task that owns the configuration: it reads the stream, appends operators' changes, writes
+//! snapshots and publishes the configuration in force.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,31 +9,32 @@
 use crate::event::{Events, Kind};
 use crate::log::Log;
 use crate::log::config::{self, Applied};
-use crate::log::follow::{ApplyError, ApplyOutcome, Follower, Standing, StatePeers};
+use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, Follower, Standing};
 use crate::log::pace::RealTime;
 use crate::log::view::ConfigView;
 use crate::schema::config::{Change, State};
 use crate::schema::peer::{ConfigAsk, ConfigGive};
 use crate::util::{self, Clock};
 
-/// Snapshots are renewed this many times within the log's retention, at least.
-const RENEWALS: u32 = 16;
+/// A snapshot is written after the log's retention divided by this, plus a delay that depends on the
+/// host.
+const SNAPSHOTS_PER_RETENTION: u32 = 16;
 
 type ApplyReply = oneshot::Sender<Result<ApplyOutcome, ApplyError>>;
 
-/// A question for other routers, and where the answer goes.
+/// A query for other routers, and the channel for the reply.
 pub type PeerQuestion = (ConfigAsk, oneshot::Sender<Option<ConfigGive>>);
 
-/// How the configuration is followed.
+/// Settings for reading the configuration stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Following {
-    /// How often the stream is read.
+    /// Interval between reads of the stream.
     pub poll: Duration,
-    /// How long the log surely keeps a record.
+    /// The time for which the log keeps every record.
     pub retention: Duration,
 }
 
-/// A handle to the running task.
+/// A handle to the configuration task.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     tx: mpsc::Sender<(Change, ApplyReply)>,
@@ -42,8 +43,9 @@
 }
 
 impl Keeper {
-    /// Starts following the stream on the current runtime; `host` spreads the routers' renewals.
-    /// Questions for other routers come out of the returned channel.
+    /// Starts the task on the current runtime. `host` determines the interval between snapshots, so
+    /// that routers don't all write them at the same time. Queries for other routers are sent to the
+    /// returned channel.
     pub fn spawn<L: Log + 'static>(
         log: L,
         host: &str,
@@ -51,16 +53,16 @@
         events: Events,
     ) -> (Self, mpsc::Receiver<PeerQuestion>) {
         let (tx, rx) = mpsc::channel(64);
-        let (questions, asked) = mpsc::channel(1);
-        let nothing = State::default();
-        let digest = config::digest(&nothing);
-        let (publish, view) = watch::channel(Arc::new(ConfigView::new(nothing, digest)));
+        let (query_tx, query_rx) = mpsc::channel(1);
+        let empty = State::default();
+        let digest = config::digest(&empty);
+        let (publish, view) = watch::channel(Arc::new(ConfigView::new(empty, digest)));
         let (publish_standing, standing) = watch::channel(Standing::Starting);
         let task = Task {
-            follower: Follower::new(log, Questions(questions), RealTime::new(Clock::start())),
+            follower: Follower::new(log, PeerQueries(query_tx), RealTime::new(Clock::start())),
             poll: following.poll,
-            renew_after: renew_after(host, following.retention),
-            renewed: Instant::now(),
+            snapshot_interval: snapshot_interval(host, following.retention),
+            last_snapshot: Instant::now(),
             snapshot: None,
             events,
             published: (0, 0),
@@ -69,23 +71,23 @@
         };
         compio::runtime::spawn(task.run(rx)).detach();
         let keeper = Self { tx, view, standing };
-        (keeper, asked)
+        (keeper, query_rx)
     }
 
-    /// What is in force here.
+    /// Returns a receiver of the configuration in force.
     pub fn view(&self) -> watch::Receiver<Arc<ConfigView>> {
         self.view.clone()
     }
 
-    /// How well it is known.
+    /// Returns how current the configuration is.
     pub fn standing(&self) -> Standing {
         self.standing.borrow().clone()
     }
 
-    /// Appends `change` and waits until it is read back.
+    /// Appends `change` and waits until it has been read back.
     ///
     /// # Errors
-    /// When the outcome isn't known or the change surely wasn't appended.
+    /// When the change wasn't appended, or when it isn't known whether it was.
     pub async fn apply(&self, change: Change) -> Result<ApplyOutcome, ApplyError> {
         let (reply, outcome) = oneshot::channel();
         let stopping = |_| ApplyError::NotApplied {
@@ -95,7 +97,7 @@
             .send((change, reply))
             .await
             .map_err(|_| stopping(()))?;
-        // The task may have appended it before it ended.
+        // The task may have appended the change before it ended.
         outcome.await.unwrap_or_else(|_| {
             Err(ApplyError::Unknown {
                 detail: "router is stopping".to_owned(),
@@ -104,32 +106,33 @@
     }
 }
 
-/// Routers renew at different times, so that the first one spares the others.
-fn renew_after(host: &str, retention: Duration) -> Duration {
-    let base = retention / RENEWALS;
+/// Returns the interval after which `host` writes a snapshot if no other router has written one. It
+/// differs between hosts, so that usually only one of them writes.
+fn snapshot_interval(host: &str, retention: Duration) -> Duration {
+    let base = retention / SNAPSHOTS_PER_RETENTION;
     let share = util::hash_parts(&[host]) % 1_000;
     base + base * u32::try_from(share).unwrap_or(0) / 1_000
 }
 
-struct Questions(mpsc::Sender<PeerQuestion>);
+struct PeerQueries(mpsc::Sender<PeerQuestion>);
 
-impl StatePeers for Questions {
-    async fn ask(&self, ask: ConfigAsk) -> Option<ConfigGive> {
+impl ConfigPeers for PeerQueries {
+    async fn fetch(&self, fetch: ConfigAsk) -> Option<ConfigGive> {
         let (reply, answer) = oneshot::channel();
-        self.0.send((ask, reply)).await.ok()?;
+        self.0.send((fetch, reply)).await.ok()?;
         answer.await.ok().flatten()
     }
 }
 
 struct Task<L> {
-    follower: Follower<L, Questions, RealTime>,
+    follower: Follower<L, PeerQueries, RealTime>,
     poll: Duration,
-    renew_after: Duration,
-    /// When a snapshot was last read or appended.
-    renewed: Instant,
+    snapshot_interval: Duration,
+    /// When the last snapshot was read or appended.
+    last_snapshot: Instant,
     snapshot: Option<u64>,
     events: Events,
-    /// Offset and version of the state that was published last.
+    /// Offset and version of the last published state.
     published: (u64, u64),
     publish: watch::Sender<Arc<ConfigView>>,
     publish_standing: watch::Sender<Standing>,
@@ -139,15 +142,15 @@
     async fn run(mut self, mut rx: mpsc::Receiver<(Change, ApplyReply)>) {
         loop {
             let events = self.events.clone();
-            self.follower.poll(&mut |a, s| note(&events, a, s)).await;
+            self.follower.poll(&mut |a, s| emit(&events, a, s)).await;
             self.publish();
-            self.renew().await;
+            self.write_snapshot().await;
             match compio::time::timeout(self.poll, rx.recv()).await {
                 Ok(Some((change, reply))) => {
-                    let note = &mut |a: &Applied, s: &State| note(&events, a, s);
-                    let outcome = self.follower.apply(change, note).await;
+                    let emit = &mut |a: &Applied, s: &State| emit(&events, a, s);
+                    let outcome = self.follower.apply(change, emit).await;
                     self.publish();
-                    // The operator may have gone; the change stands all the same.
+                    // The operator may have disconnected; the change stays in force.
                     let _ = reply.send(outcome);
                 }
                 Ok(None) => return,
@@ -170,23 +173,25 @@
         }
     }
 
-    async fn renew(&mut self) {
+    async fn write_snapshot(&mut self) {
         if self.follower.snapshot() != self.snapshot {
             self.snapshot = self.follower.snapshot();
-            self.renewed = Instant::now();
+            self.last_snapshot = Instant::now();
         }
-        let due = self.renewed.elapsed() >= self.renew_after;
+        let due = self.last_snapshot.elapsed() >= self.snapshot_interval;
         if !due || *self.follower.standing() != Standing::Current {
             return;
         }
-        match self.follower.renew().await {
-            Ok(()) => self.renewed = Instant::now(),
-            Err(e) => log::warn!("the configuration's snapshot can't be renewed: {e}"),
+        match self.follower.write_snapshot().await {
+            Ok(()) => self.last_snapshot = Instant::now(),
+            Err(e) => log::warn!(
+                "snapshot of the configuration not written, retrying at the next poll: {e}"
+            ),
         }
     }
 }
 
-fn note(events: &Events, applied: &Applied, state: &State) {
+fn emit(events: &Events, applied: &Applied, state: &State) {
     match applied {
         Applied::Accepted { version } => events.emit(Kind::ConfigApplied, |e| {
             e.detail = format!("version {version}, next offset {}", state.offset);
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -1,9 +1,10 @@
-//! Leases: who may give orders to an upstream, decided by the order of records in the log.
+//! Leases: the order of records in the log decides which router may give orders to an upstream.
 //!
-//! A lease is granted if no other was granted since its taker read the stream. Nobody's wall clock
-//! counts: the holder stops a term after it began its append, by its own monotonic clock, and a
-//! taker waits more than a term after it first read the holder's record, which is later. The grant's
-//! offset grows with each grant and is the fencing number.
+//! A lease is granted if no other lease was granted since its requester last read the stream. Wall
+//! clocks play no part: the holder stops one term after it began its append, measured by its own
+//! monotonic clock, and another router waits more than one term from when it first read the holder's
+//! record, which is later. The offset of the grant is the fencing number, which grows with every
+//! grant.
 
 use std::collections::HashMap;
 
@@ -19,48 +20,49 @@
 /// The stream that holds lease records.
 pub const STREAM: &str = "leases";
 
-/// How long a lease holds. An order is one small request; a taker after a crash waits this long.
+/// Term of a lease. An order is one small request, and after a crash of the holder the next router
+/// has to wait for about this long.
 pub const TERM_MS: u64 = 15_000;
 
 const READ_MAX: usize = 256;
-const SETTLE_READS: u32 = 4;
-const SETTLE_PAUSE: std::time::Duration = std::time::Duration::from_millis(25);
-/// Monotonic clocks of two hosts may run apart by this share of the time.
+const CONFIRM_READS: u32 = 4;
+const CONFIRM_PAUSE: std::time::Duration = std::time::Duration::from_millis(25);
+/// The rates of two hosts' monotonic clocks may differ by one part in this many.
 const DRIFT_DIVISOR: u64 = 100;
 
-/// A lease that this router holds.
+/// A lease held by this router.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Lease {
-    /// For which upstream.
+    /// The upstream that the lease is for.
     pub upstream: Name,
-    /// Greater than that of every earlier lease of the upstream.
+    /// Fencing number, greater than that of every earlier lease of the upstream.
     pub fencing: u64,
-    /// When this router must have stopped, on its monotonic clock.
+    /// End of the lease on this router's monotonic clock.
     pub until_ms: u64,
-    /// Another host held the lease before.
+    /// Whether another host held the lease before.
     pub taken_over: bool,
 }
 
-/// Why there is no lease.
+/// Why a lease wasn't acquired.
 #[derive(Debug, Snafu)]
 pub enum LeaseError {
-    /// Another router holds it.
-    #[snafu(display("{host} holds the lease; come back in {wait_ms} ms"))]
+    /// Another router holds the lease.
+    #[snafu(display("{host} holds the lease; retry in {wait_ms} ms"))]
     Held {
-        /// The holder.
+        /// The host that holds the lease.
         host: String,
-        /// After this it has surely stopped, if it doesn't renew.
+        /// Time until the lease has expired, unless it is renewed.
         wait_ms: u64,
     },
-    /// The log can't be asked.
+    /// The log can't be reached.
     #[snafu(display("{source}"))]
     Log {
-        /// What failed.
+        /// The error of the log.
         source: LogError,
     },
-    /// The record wasn't found; the lease isn't held.
-    #[snafu(display("the log didn't show the lease in time"))]
-    Unsettled,
+    /// The record wasn't found in time; the lease isn't held.
+    #[snafu(display("the lease wasn't confirmed by the log in time"))]
+    Unconfirmed,
 }
 
 #[derive(Clone, Debug)]
@@ -74,7 +76,7 @@
     seen_ms: u64,
 }
 
-/// One router's view of the leases, and its hand in them.
+/// Acquires, renews and ends leases for one router.
 #[derive(Debug)]
 pub struct Lessor<L, P> {
     log: L,
@@ -85,8 +87,8 @@
 }
 
 impl<L: Log, P: Pace> Lessor<L, P> {
-    /// Starts with nothing read. `host` must name this incarnation alone: a replaced host waits for
-    /// its predecessor like any other.
+    /// Creates a lessor that has read nothing. `host` must be unique to this incarnation: a restarted
+    /// host must wait for the lease of its previous incarnation like any other host.
     pub fn new(log: L, pace: P, host: String) -> Self {
         Self {
             log,
@@ -97,51 +99,51 @@
         }
     }
 
-    /// Takes or renews the lease of `upstream`.
+    /// Acquires or renews the lease of `upstream`.
     ///
     /// # Errors
-    /// When another router may still give orders, or the log doesn't tell.
+    /// When another router may still give orders, or the log can't be read or appended to.
     pub async fn take(&mut self, upstream: &Name) -> Result<Lease, LeaseError> {
         let read = self.read().await;
         read.map_err(|source| LeaseError::Log { source })?;
         let mut taken_over = false;
         if let Some(granted) = self.granted.get(upstream) {
             taken_over = granted.host != self.host;
-            self.may_follow(granted)?;
+            self.check_expired(granted)?;
         }
-        let began_ms = self.pace.now().mono_ms;
+        let started_ms = self.pace.now().mono_ms;
         let record = self.record(upstream, 0);
         let id = record.id.clone();
         let appended = self.append(record).await;
         if let Err(source @ LogError::Unavailable { .. }) = appended {
             return Err(LeaseError::Log { source });
         }
-        for _ in 0..SETTLE_READS {
+        for _ in 0..CONFIRM_READS {
             if self.read().await.is_ok()
                 && let Some(granted) = self.granted.get(upstream)
             {
                 if granted.id == id {
                     let fencing = granted.offset;
-                    let lease = self.lease(upstream, fencing, began_ms, taken_over);
-                    // A pause since the append may have used the term up, and an old read may
-                    // hide that another router took over.
+                    let lease = self.lease(upstream, fencing, started_ms, taken_over);
+                    // The term may have passed in a pause since the append, and a stale read may
+                    // not show that another router has taken over.
                     return if self.holds(&lease) {
                         Ok(lease)
                     } else {
-                        Err(LeaseError::Unsettled)
+                        Err(LeaseError::Unconfirmed)
                     };
                 }
-                self.may_follow(granted)?;
+                self.check_expired(granted)?;
             }
-            self.pace.pause(SETTLE_PAUSE).await;
+            self.pace.pause(CONFIRM_PAUSE).await;
         }
-        Err(LeaseError::Unsettled)
+        Err(LeaseError::Unconfirmed)
     }
 
-    /// Ends `lease` early, so that the next taker needn't wait.
+    /// Ends `lease` early, so that the next router needn't wait for its expiry.
     ///
     /// # Errors
-    /// As [`Log::append`]; without the record the lease runs out by itself.
+    /// As [`Log::append`]. If the record isn't appended, the lease expires at the end of its term.
     pub async fn end(&mut self, lease: &Lease) -> Result<(), LogError> {
         let record = self.record(&lease.upstream, lease.fencing + 1);
         self.append(record).await
@@ -152,11 +154,11 @@
         self.pace.now().mono_ms < lease.until_ms
     }
 
-    fn lease(&self, upstream: &Name, fencing: u64, began_ms: u64, taken_over: bool) -> Lease {
+    fn lease(&self, upstream: &Name, fencing: u64, started_ms: u64, taken_over: bool) -> Lease {
         let from_ms = if planted(Plant::TermFromGrant) {
             self.pace.now().mono_ms
         } else {
-            began_ms
+            started_ms
         };
         Lease {
             upstream: upstream.clone(),
@@ -166,8 +168,8 @@
         }
     }
 
-    /// Refuses while the holder may still give orders.
-    fn may_follow(&self, granted: &Granted) -> Result<(), LeaseError> {
+    /// Fails while the holder of `granted` may still give orders.
+    fn check_expired(&self, granted: &Granted) -> Result<(), LeaseError> {
         if granted.ended || granted.host == self.host || planted(Plant::DontWait) {
             return Ok(());
         }
@@ -209,7 +211,7 @@
                 }
                 self.next = entry.offset + 1;
                 if let Ok(record) = serde_json::from_str::<Record>(&entry.text) {
-                    self.fold(entry.offset, record);
+                    self.apply_record(entry.offset, record);
                 }
             }
             if self.next == before || self.next >= batch.next {
@@ -218,7 +220,7 @@
         }
     }
 
-    fn fold(&mut self, offset: u64, record: Record) {
+    fn apply_record(&mut self, offset: u64, record: Record) {
         let upstream = Name::from(record.upstream.as_str());
         let current = self.granted.get_mut(&upstream);
         if record.ends > 0 {
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -1,8 +1,9 @@
-//! What must be agreed or kept, on the platform's append-only log.
+//! Shared and durable state, stored in the platform's append-only log.
 //!
-//! Hosts keep nothing. A stream of the log is the arbiter: append, then read back up to one's own
-//! record; the order of records decides. Every record carries a unique id, so a lost reply is
-//! settled by reading, never by guessing.
+//! Hosts have no durable storage. To agree on a value, a router appends a record to a stream and
+//! reads the stream back up to that record; the order of the records decides. Every record has a
+//! unique id, so that after a lost reply the router can find out by reading whether its append took
+//! effect.
 
 pub mod check;
 pub mod claimant;
@@ -43,7 +44,7 @@
     pub text: String,
 }
 
-/// A run of records.
+/// A contiguous range of records.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Batch {
     /// The oldest offset the log still keeps.
@@ -58,16 +59,16 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum LogError {
-    /// The call surely had no effect.
+    /// The call had no effect.
     #[snafu(display("the log can't be reached: {detail}"))]
     Unavailable {
-        /// What the transport said.
+        /// The transport's error.
         detail: String,
     },
-    /// The call may have taken effect; only reading tells.
-    #[snafu(display("the log's reply was lost: {detail}"))]
-    Unsettled {
-        /// What the transport said.
+    /// The call may have taken effect; reading the stream shows whether it did.
+    #[snafu(display("no valid reply from the log; the call may have taken effect: {detail}"))]
+    Indeterminate {
+        /// The transport's error.
         detail: String,
     },
 }
@@ -77,17 +78,17 @@
     /// Appends `records` in order and returns the offset of the first.
     ///
     /// # Errors
-    /// [`LogError::Unsettled`] when the records may have been appended all the same.
+    /// [`LogError::Indeterminate`] when the records may have been appended despite the error.
     fn append(
         &self,
         stream: &str,
         records: Vec<String>,
     ) -> impl Future<Output = Result<u64, LogError>>;
 
-    /// Reads at most `max` records from `from` on, or from the oldest kept if that is later.
+    /// Reads at most `max` records, starting at `from` or at the oldest kept record if that is later.
     ///
     /// # Errors
-    /// Any failure to read; reading has no effect.
+    /// Any failure to read.
     fn read(
         &self,
         stream: &str,
@@ -96,10 +97,10 @@
     ) -> impl Future<Output = Result<Batch, LogError>>;
 }
 
-/// Reports a broken invariant: stops a debug build, counts and logs in a release.
+/// Reports a broken invariant: panics in a debug build, counts and logs in a release build.
 ///
-/// A router that stopped here would cut its callers' answers; what the invariant guards is refused
-/// by the caller of this function.
+/// A release build doesn't panic because that would cut off the answers in progress; the caller of
+/// this function refuses the operation instead.
 pub(crate) fn invariant(holds: bool, what: &'static str) {
     if !holds {
         metrics::counter!("invariant_broken_total", "what" => what).increment(1);
--- a/src/log/pace.rs
+++ b/src/log/pace.rs
@@ -1,28 +1,28 @@
-//! Time as it comes into this layer, so that a test can bring its own.
+//! Clocks and sleeping behind a trait, so that tests can replace them.
 
 use std::time::Duration;
 
 use crate::util::{Clock, wall_ms};
 
-/// Both clocks of a host.
+/// A reading of both clocks of a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Wall time, right to within half of [`crate::log::claims::CLOCK_MARGIN_MS`].
+    /// Wall time, accurate to within half of [`crate::log::claims::CLOCK_MARGIN_MS`].
     pub wall_ms: u64,
-    /// Monotonic.
+    /// Monotonic time.
     pub mono_ms: u64,
 }
 
-/// A host's clocks, and how to wait.
+/// The clocks of a host, and sleeping.
 pub trait Pace {
-    /// What the clocks show.
+    /// Reads the clocks.
     fn now(&self) -> Now;
 
-    /// Waits.
+    /// Sleeps for `time`.
     fn pause(&self, time: Duration) -> impl Future<Output = ()>;
 }
 
-/// The host's own clocks.
+/// The real clocks of the host.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RealTime(Clock);
 
--- a/src/log/platform.rs
+++ b/src/log/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's log and host list, over HTTP.
+//! HTTP client of the platform's log and host list.
 
 use std::time::{Duration, Instant};
 
@@ -15,35 +15,35 @@
     timeout: Duration,
 }
 
-/// What a listed host is for.
+/// The kind of a listed host.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostKind {
-    /// It runs a router.
+    /// A host that runs a router.
     #[default]
     Router,
-    /// It is an upstream of this name.
+    /// An upstream; the host's name is the upstream's.
     Upstream,
 }
 
-/// One line of the platform's lagging list of hosts.
+/// One entry of the platform's host list, which may lag behind the actual hosts.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedHost {
-    /// The host's name; an upstream's is that of the configuration.
+    /// The host's name; for an upstream, its name in the configuration.
     pub name: String,
-    /// What it is for.
+    /// Whether the host is a router or an upstream.
     #[serde(default)]
     pub kind: HostKind,
-    /// Where it runs.
+    /// The data centre of the host.
     #[serde(default)]
     pub data_center: String,
-    /// Where callers reach a router.
+    /// The address at which a router accepts callers.
     #[serde(default)]
     pub caller_addr: String,
-    /// Where routers reach a router.
+    /// The address at which a router accepts other routers.
     #[serde(default)]
     pub peer_addr: String,
-    /// The platform is taking it away.
+    /// Whether the platform is removing the host.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -72,10 +72,10 @@
 }
 
 impl Platform {
-    /// A client of the platform at `addr`, an IP and port.
+    /// Creates a client of the platform at `addr`, an IP address and port.
     ///
     /// # Errors
-    /// When no HTTP client can be made.
+    /// When the HTTP client can't be created.
     pub fn open(addr: &str, timeout: Duration) -> Result<Self, LogError> {
         let http = cyper::Client::new().map_err(|e| unavailable(&e))?;
         Ok(Self {
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The platform's list of routers.
+    /// Returns the platform's list of hosts.
     ///
     /// # Errors
     /// When the platform can't be reached.
@@ -112,19 +112,23 @@
     async fn post(&self, url: &str, body: String) -> Result<Vec<u8>, LogError> {
         let call = async {
             let request = self.http.post(url).map_err(|e| unavailable(&e))?;
-            let response = request.body(body).send().await.map_err(|e| unsettled(&e))?;
+            let response = request
+                .body(body)
+                .send()
+                .await
+                .map_err(|e| indeterminate(&e))?;
             if response.status() == http::StatusCode::SERVICE_UNAVAILABLE {
                 return Err(unavailable(&response.status()));
             }
             if !response.status().is_success() {
-                return Err(unsettled(&response.status()));
+                return Err(indeterminate(&response.status()));
             }
-            let body = response.bytes().await.map_err(|e| unsettled(&e))?;
+            let body = response.bytes().await.map_err(|e| indeterminate(&e))?;
             Ok(body.to_vec())
         };
         compio::time::timeout(self.timeout, call)
             .await
-            .map_err(|e| unsettled(&e))?
+            .map_err(|e| indeterminate(&e))?
     }
 }
 
@@ -135,7 +139,7 @@
         let started = Instant::now();
         let reply = self.post(&url, body).await?;
         stats::log_append(started.elapsed());
-        let reply: AppendReply = serde_json::from_slice(&reply).map_err(|e| unsettled(&e))?;
+        let reply: AppendReply = serde_json::from_slice(&reply).map_err(|e| indeterminate(&e))?;
         Ok(reply.offset)
     }
 
@@ -162,8 +166,8 @@
     }
 }
 
-fn unsettled(detail: &impl ToString) -> LogError {
-    LogError::Unsettled {
+fn indeterminate(detail: &impl ToString) -> LogError {
+    LogError::Indeterminate {
         detail: detail.to_string(),
     }
 }
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -1,8 +1,9 @@
-//! Reads and writes the claims of one slot. No timers and no clock of its own.
+//! Reads and writes the claims of one slot. Takes the time as an argument.
 //!
-//! A reader needs the records that can concern a key, not the whole stream. Each record says up to
-//! which offset its appender had read, and by when. That bounds from above when all below landed;
-//! a time stamped before an append would not, for its appender may pause in between.
+//! A reader needs only the records that can concern a key, not the whole stream. Each record
+//! carries the offset up to which its appender had read and the time of that read: all records
+//! below that offset were appended before that time. The time of the append itself would give no
+//! such bound, because the appender may pause between taking the time and appending.
 
 use uuid::Uuid;
 
@@ -14,27 +15,28 @@
 use crate::schema::records::{Claim, ClaimRecord};
 
 const READ_MAX: usize = 512;
-/// A reader that is further behind starts anew at the tail, and goes back as far as it must.
-const SKIP_RECORDS: u64 = 8_192;
-const FIRST_STEP: u64 = 64;
+/// A reader further behind than this restarts at the end of the stream and reads back from there as
+/// far as needed.
+const MAX_LAG_RECORDS: u64 = 8_192;
+const FIRST_STEP_RECORDS: u64 = 64;
 
-/// One slot's stream as read so far.
+/// The stream of one slot, as far as it has been read.
 #[derive(Clone, Debug)]
 pub struct Slot<L> {
     log: L,
     stream: String,
     claims: Claims,
     next: u64,
-    /// Every record that landed after this wall time was read.
+    /// Every record appended after this wall time has been read.
     covered_from_ms: u64,
-    /// Where reading began.
+    /// Offset at which reading began.
     start: u64,
     read_at_ms: u64,
     opened: bool,
 }
 
 impl<L: Log> Slot<L> {
-    /// Reads nothing yet.
+    /// Creates a slot of which nothing has been read.
     pub fn new(log: L, stream: String) -> Self {
         Self {
             log,
@@ -48,44 +50,48 @@
         }
     }
 
-    /// How `key` stands after what was read.
+    /// Returns the state of `key` after the records read so far.
     pub fn standing(&self, key: &str) -> Standing {
         self.claims.standing(key)
     }
 
-    /// What became of `claim` of a key of time `key_ms`, once it and all that may come before it
-    /// were read.
+    /// Returns the verdict on `claim` of a key with time `key_ms`, or `None` until the claim and
+    /// every record that may precede it have been read.
     pub fn verdict(&self, claim: &Claim, key_ms: u64) -> Option<Verdict> {
         let covered = self.covers(key_ms);
         covered.then(|| self.claims.verdict(claim)).flatten()
     }
 
-    /// The offset to read from next.
+    /// Returns the offset to read from next.
     pub fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Forgets keys first seen before `before_ms` on the monotonic clock.
+    /// Removes keys first seen before `before_ms` on the monotonic clock.
     pub fn forget(&mut self, before_ms: u64) {
         self.claims.forget(before_ms);
     }
 
-    /// Reads to the end of the stream, and back until every claim of a key of time `key_ms` that
-    /// the log still keeps was read.
+    /// Reads to the end of the stream, and backwards until every claim of a key with time `key_ms`
+    /// that the log still keeps has been read.
     ///
     /// # Errors
     /// When the log can't be read.
-    pub async fn cover(&mut self, key_ms: u64, now: impl Fn() -> Now) -> Result<(), LogError> {
+    pub async fn ensure_covered(
+        &mut self,
+        key_ms: u64,
+        now: impl Fn() -> Now,
+    ) -> Result<(), LogError> {
         if !self.opened {
             self.open(&now).await?;
         }
-        self.read_on(&now, true).await?;
-        let mut step = FIRST_STEP;
+        self.read_to_end(&now, true).await?;
+        let mut step = FIRST_STEP_RECORDS;
         while !self.covers(key_ms) {
-            let need_ms = needed_from(key_ms);
+            let need_ms = earliest_claim_ms(key_ms);
             let (from, covered_from_ms) = self.probe(step, need_ms).await?;
             if covered_from_ms < need_ms || covered_from_ms == 0 {
-                self.restart(from, covered_from_ms);
+                self.reset(from, covered_from_ms);
                 self.catch_up(&now).await?;
             }
             step = step.saturating_mul(4);
@@ -93,13 +99,13 @@
         Ok(())
     }
 
-    /// Appends `bodies` as one group; returns the offset after the last.
+    /// Appends `bodies` as one group; returns the offset after the last one.
     ///
     /// # Errors
     /// As [`Log::append`].
     pub async fn append(&self, bodies: Vec<Body>) -> Result<u64, LogError> {
         let count = bodies.len() as u64;
-        let texts = bodies.into_iter().map(|body| self.text(body)).collect();
+        let texts = bodies.into_iter().map(|body| self.encode(body)).collect();
         let offset = self.log.append(&self.stream, texts).await?;
         Ok(offset + count)
     }
@@ -109,19 +115,23 @@
     /// # Errors
     /// When the log can't be read.
     pub async fn catch_up(&mut self, now: &impl Fn() -> Now) -> Result<(), LogError> {
-        self.read_on(now, false).await
+        self.read_to_end(now, false).await
     }
 
-    async fn read_on(&mut self, now: &impl Fn() -> Now, may_skip: bool) -> Result<(), LogError> {
+    async fn read_to_end(
+        &mut self,
+        now: &impl Fn() -> Now,
+        may_skip: bool,
+    ) -> Result<(), LogError> {
         loop {
             let batch = self.log.read(&self.stream, self.next, READ_MAX).await?;
             let at = now();
-            if may_skip && batch.next.saturating_sub(self.next) > SKIP_RECORDS {
-                self.restart(batch.next, at.wall_ms);
+            if may_skip && batch.next.saturating_sub(self.next) > MAX_LAG_RECORDS {
+                self.reset(batch.next, at.wall_ms);
                 return Ok(());
             }
             self.read_at_ms = at.wall_ms;
-            if !self.take(batch, at.mono_ms) {
+            if !self.apply_batch(batch, at.mono_ms) {
                 return Ok(());
             }
         }
@@ -130,27 +140,28 @@
     async fn open(&mut self, now: &impl Fn() -> Now) -> Result<(), LogError> {
         let batch = self.log.read(&self.stream, u64::MAX, 0).await?;
         let empty = batch.first >= batch.next;
-        self.restart(batch.next, if empty { 0 } else { now().wall_ms });
+        self.reset(batch.next, if empty { 0 } else { now().wall_ms });
         self.opened = true;
         Ok(())
     }
 
-    /// Whether all claims that may come before a fresh one of a key of time `key_ms` were read, but
-    /// for the newest.
+    /// Whether every claim that may precede a new one of a key with time `key_ms` has been read,
+    /// except those appended since the last read.
     pub fn covers(&self, key_ms: u64) -> bool {
         planted(Plant::NeverReadBack)
             || self.covered_from_ms == 0
-            || self.covered_from_ms < needed_from(key_ms)
+            || self.covered_from_ms < earliest_claim_ms(key_ms)
     }
 
-    fn restart(&mut self, from: u64, covered_from_ms: u64) {
+    fn reset(&mut self, from: u64, covered_from_ms: u64) {
         self.claims = Claims::default();
         self.next = from;
         self.start = from;
         self.covered_from_ms = covered_from_ms;
     }
 
-    /// Where reading would begin if it began `step` records earlier, and since when that covers.
+    /// Returns the offset at which to begin in order to read about `step` records more, and the wall
+    /// time since which all records would then have been read.
     async fn probe(&self, step: u64, need_ms: u64) -> Result<(u64, u64), LogError> {
         let from = self.start.saturating_sub(step);
         let batch = self.log.read(&self.stream, from, 1).await?;
@@ -164,11 +175,11 @@
         }
     }
 
-    /// Folds a batch in; tells whether there may be more.
-    fn take(&mut self, batch: Batch, mono_ms: u64) -> bool {
+    /// Applies a batch; returns whether there may be more records.
+    fn apply_batch(&mut self, batch: Batch, mono_ms: u64) -> bool {
         if batch.first > self.next {
-            // What expired unread can only concern keys that are too old by now.
-            self.restart(batch.first, 0);
+            // Records that expired unread only concern keys that are too old to be claimed.
+            self.reset(batch.first, 0);
         }
         let before = self.next;
         for entry in batch.entries {
@@ -183,7 +194,7 @@
         self.next > before && self.next < batch.next
     }
 
-    fn text(&self, body: Body) -> String {
+    fn encode(&self, body: Body) -> String {
         let record = ClaimRecord {
             schema: SCHEMA,
             read_to: self.next,
@@ -194,11 +205,11 @@
     }
 }
 
-/// No claim of a key of time `key_ms` landed before this.
+/// Returns the wall time before which no claim of a key with time `key_ms` was appended.
 ///
-/// Its claimant's clock showed no less than `key_ms` less the margin, was itself within half the
-/// margin of true time, and so is the clock that this is compared with.
-fn needed_from(key_ms: u64) -> u64 {
+/// The claimant's clock showed at least `key_ms` minus the margin. It was within half the margin of
+/// true time, and so is the clock that this time is compared with; hence twice the margin.
+fn earliest_claim_ms(key_ms: u64) -> u64 {
     key_ms.saturating_sub(2 * CLOCK_MARGIN_MS)
 }
 
@@ -207,12 +218,12 @@
     (record.schema <= SCHEMA).then_some(record)
 }
 
-/// An id for one claim.
+/// Returns a new unique id for a claim.
 pub fn mint_id() -> String {
     Uuid::now_v7().to_string()
 }
 
-/// A fresh claim of `key` by `host`.
+/// Returns a new claim of `key` by `host`.
 pub fn mint(key: &str, host: &str, fingerprint: u64, run_ms: u64) -> Claim {
     Claim {
         id: mint_id(),
--- a/src/log/view.rs
+++ b/src/log/view.rs
@@ -1,4 +1,4 @@
-//! The configuration with the indexes that the request path needs, built once a change.
+//! The configuration with the indexes that the request path needs, rebuilt on every change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,21 +6,21 @@
 use crate::schema::config::{Account, Policy, Service, State, Upstream};
 use crate::util::Name;
 
-/// What the upstreams of one service are.
+/// The upstreams of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Names of those that take new work, sorted.
+    /// Sorted names of the upstreams that accept new requests.
     pub names: Vec<Name>,
-    /// All of them, by name.
+    /// All upstreams of the service, by name.
     pub upstreams: HashMap<Name, Arc<Upstream>>,
 }
 
-/// An immutable configuration.
+/// An immutable, indexed configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
-    /// The state it was built from.
+    /// The state from which the indexes were built.
     pub state: State,
-    /// Equal on all routers that stand at the same offset.
+    /// Digest of the state; equal on all routers that have read up to the same offset.
     pub digest: u64,
     accounts_by_key: HashMap<String, Arc<Account>>,
     accounts_by_name: HashMap<Name, Arc<Account>>,
@@ -31,7 +31,7 @@
 }
 
 impl ConfigView {
-    /// Indexes `state`.
+    /// Builds the indexes of `state`.
     pub fn new(state: State, digest: u64) -> Self {
         let accounts: Vec<Arc<Account>> = state.accounts.iter().cloned().map(Arc::new).collect();
         let by_key = |a: &Arc<Account>| (a.key_sha256.clone(), a.clone());
@@ -56,27 +56,27 @@
         }
     }
 
-    /// The account whose key has this hex SHA-256 digest.
+    /// Returns the account whose key has this hex SHA-256 digest.
     pub fn account_by_key(&self, key_sha256: &str) -> Option<&Arc<Account>> {
         self.accounts_by_key.get(key_sha256)
     }
 
-    /// The account of this name.
+    /// Returns the account with this name.
     pub fn account(&self, name: &str) -> Option<&Arc<Account>> {
         self.accounts_by_name.get(name)
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The engine service that serves `model`.
+    /// Returns the engine service that serves `model`.
     pub fn service_by_model(&self, model: &str) -> Option<&Arc<Service>> {
         self.services.get(self.services_by_model.get(model)?)
     }
 
-    /// The plain service with the longest path prefix of `path`.
+    /// Returns the plain service whose path prefix is the longest that matches `path`.
     pub fn service_by_path(&self, path: &str) -> Option<&Arc<Service>> {
         self.services
             .values()
@@ -84,28 +84,29 @@
             .max_by_key(|s| s.path_prefix.len())
     }
 
-    /// The routing policy of `service`, if one is set.
+    /// Returns the routing policy of `service`, if one is set.
     pub fn policy(&self, service: &str) -> Option<&Arc<Policy>> {
         self.policies.get(service)
     }
 
-    /// The upstreams of `service`.
+    /// Returns the upstreams of `service`.
     pub fn pool(&self, service: &str) -> Option<&Arc<Pool>> {
         self.pools.get(service)
     }
 
-    /// Whether `upstream` gets new work: it doesn't drain, and its data centre isn't evacuated.
+    /// Whether `upstream` accepts new requests: it isn't draining, and its data centre isn't
+    /// evacuated.
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         takes_work(&self.state, upstream)
     }
 
-    /// The upstream of this name in `service`.
+    /// Returns the upstream of `service` with this name.
     pub fn upstream(&self, service: &str, name: &str) -> Option<&Arc<Upstream>> {
         self.pools.get(service)?.upstreams.get(name)
     }
 }
 
-/// Whether `upstream` gets new work: it doesn't drain, and its data centre isn't evacuated.
+/// Whether `upstream` accepts new requests: it isn't draining, and its data centre isn't evacuated.
 fn takes_work(state: &State, upstream: &Upstream) -> bool {
     let mut evacuated = state.data_centers.iter().map(|m| &m.data_center);
     !upstream.draining && !evacuated.any(|name| *name == upstream.data_center)
