--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -1,4 +1,5 @@
-//! Claims against a simple oracle: what ran, and what each caller was told.
+//! Fuzz tests of claims, against an oracle that records which requests ran and what their callers were
+//! answered.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,31 +34,31 @@
         host: u8,
         key: u8,
     },
-    /// The host asks a reader for the key; an earlier question's answer is lost.
-    Ask {
+    /// The host submits its claim to a reader; the answer to an earlier submission is lost.
+    Claim {
         request: u8,
         reader: u8,
     },
-    /// A reader begins its next group.
+    /// A reader starts to process its next group.
     Begin {
         reader: u8,
     },
-    /// The log carries out some of a reader's calls, the last with a fault.
-    Grant {
+    /// The log executes some of a reader's calls, the last one with a fault.
+    Execute {
         reader: u8,
         count: u8,
         fault: Fault,
     },
-    /// The host takes the reader's answer.
+    /// The host receives the reader's answer.
     Receive {
         request: u8,
     },
-    /// The host lets the request go, or finds that it can't.
+    /// The host sends the request to an upstream, or finds that it can't.
     Run {
         request: u8,
-        leaves: bool,
+        sends: bool,
     },
-    /// The upstream answers, or breaks off.
+    /// The upstream answers, or the connection to it fails.
     Finish {
         request: u8,
         known: bool,
@@ -67,21 +68,21 @@
     Crash {
         reader: u8,
     },
-    /// A host dies with its request.
+    /// The host crashes while it handles a request.
     Kill {
         request: u8,
     },
-    /// One request goes from its caller to its end with a fault on the way.
+    /// One request is handled from start to end, with a fault in one of the log calls.
     Serve {
         host: u8,
         key: u8,
         after: u8,
         fault: Fault,
-        leaves: bool,
+        sends: bool,
     },
     Outage(bool),
     /// A delayed append takes effect.
-    Land(u8),
+    DeliverDelayed(u8),
     Advance(u8),
 }
 
@@ -109,22 +110,22 @@
     fn transitions((): &()) -> BoxedStrategy<Step> {
         prop_oneof![
             6 => (pick(), pick()).prop_map(|(host, key)| Step::Send { host, key }),
-            8 => (pick(), pick()).prop_map(|(request, reader)| Step::Ask { request, reader }),
+            8 => (pick(), pick()).prop_map(|(request, reader)| Step::Claim { request, reader }),
             8 => pick().prop_map(|reader| Step::Begin { reader }),
             16 => (pick(), 1..7_u8, fault())
-                .prop_map(|(reader, count, fault)| Step::Grant { reader, count, fault }),
+                .prop_map(|(reader, count, fault)| Step::Execute { reader, count, fault }),
             8 => pick().prop_map(|request| Step::Receive { request }),
             6 => (pick(), prop::bool::weighted(0.7))
-                .prop_map(|(request, leaves)| Step::Run { request, leaves }),
+                .prop_map(|(request, sends)| Step::Run { request, sends }),
             4 => (pick(), any::<bool>(), pick())
                 .prop_map(|(request, known, reader)| Step::Finish { request, known, reader }),
             1 => pick().prop_map(|reader| Step::Crash { reader }),
             1 => pick().prop_map(|request| Step::Kill { request }),
             6 => (pick(), pick(), 0..6_u8, fault(), prop::bool::weighted(0.7)).prop_map(
-                |(host, key, after, fault, leaves)| Step::Serve { host, key, after, fault, leaves }
+                |(host, key, after, fault, sends)| Step::Serve { host, key, after, fault, sends }
             ),
             1 => prop::bool::weighted(0.3).prop_map(Step::Outage),
-            2 => pick().prop_map(Step::Land),
+            2 => pick().prop_map(Step::DeliverDelayed),
             2 => pick().prop_map(Step::Advance),
         ]
         .boxed()
@@ -133,37 +134,38 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// What is true, whatever the routers believe.
+/// What actually happened, independent of the state of the routers.
 #[derive(Default)]
 struct Oracle {
     /// The request that ran, for each key.
     ran: BTreeMap<u64, u64>,
-    told_not_run: BTreeSet<u64>,
+    reported_not_run: BTreeSet<u64>,
 }
 
 impl Oracle {
-    fn runs(&mut self, key: u64, request: u64) {
+    fn record_run(&mut self, key: u64, request: u64) {
         let earlier = self.ran.insert(key, request);
         assert_eq!(earlier, None, "key {key} ran twice");
-        let told = self.told_not_run.contains(&request);
+        let reported = self.reported_not_run.contains(&request);
         assert!(
-            !told,
-            "request {request} ran after its caller was told not run"
+            !reported,
+            "request {request} ran after it was reported as not run"
         );
     }
 
-    fn tell_not_run(&mut self, key: u64, request: u64) {
+    fn record_not_run(&mut self, key: u64, request: u64) {
         let ran = self.ran.get(&key) == Some(&request);
-        assert!(
-            !ran,
-            "request {request} ran and its caller was told not run"
-        );
-        self.told_not_run.insert(request);
+        assert!(!ran, "request {request} ran and was reported as not run");
+        self.reported_not_run.insert(request);
     }
 
-    fn tell_kept(&self, key: u64, answer: &str) {
+    fn check_stored_answer(&self, key: u64, answer: &str) {
         let ran = self.ran.get(&key).map(ToString::to_string);
-        assert_eq!(ran.as_deref(), Some(answer), "another request's answer");
+        assert_eq!(
+            ran.as_deref(),
+            Some(answer),
+            "stored answer of another request"
+        );
     }
 }
 
@@ -192,7 +194,7 @@
     group: Option<FakeGroup>,
     running: Option<Script<FakeGroup>>,
     claims: Vec<PendingClaim>,
-    notes: Vec<Body>,
+    queued: Vec<Body>,
 }
 
 impl Reader {
@@ -201,7 +203,7 @@
             group: Some(Group::new(log, STREAM.to_owned(), clock, RETENTION_MS)),
             running: None,
             claims: Vec::new(),
-            notes: Vec::new(),
+            queued: Vec::new(),
         }
     }
 
@@ -209,7 +211,7 @@
         let Some(mut group) = self.group.take() else {
             return;
         };
-        self.notes.drain(..).for_each(|body| group.enqueue(body));
+        self.queued.drain(..).for_each(|body| group.enqueue(body));
         let claims = std::mem::take(&mut self.claims);
         self.running = Some(Box::pin(async move {
             group.process(claims).await;
@@ -227,16 +229,16 @@
 
     fn idle(&self) -> bool {
         let has_queued = self.group.as_ref().is_some_and(Group::has_queued);
-        self.running.is_none() && self.notes.is_empty() && self.claims.is_empty() && !has_queued
+        self.running.is_none() && self.queued.is_empty() && self.claims.is_empty() && !has_queued
     }
 }
 
 enum Stage {
-    Fresh,
-    Asked(oneshot::Receiver<Result<Verdict, LogDown>>),
+    New,
+    Claimed(oneshot::Receiver<Result<Verdict, LogDown>>),
     Won,
     Running,
-    Over,
+    Ended,
     Killed,
 }
 
@@ -247,7 +249,7 @@
     stage: Stage,
 }
 
-struct World {
+struct Simulation {
     log: FakeLog,
     now_ms: Rc<Cell<u64>>,
     readers: Vec<Reader>,
@@ -256,12 +258,12 @@
     crashed: bool,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now_ms = Rc::new(Cell::new(START_MS));
         let log = FakeLog::new(RETENTION_MS);
         log.set_now(START_MS);
-        let mut world = Self {
+        let mut sim = Self {
             log,
             now_ms,
             readers: Vec::new(),
@@ -269,11 +271,11 @@
             oracle: Oracle::default(),
             crashed: false,
         };
-        world.readers = (0..HOSTS).map(|host| world.reader(host)).collect();
-        world
+        sim.readers = (0..HOSTS).map(|host| sim.reader(host)).collect();
+        sim
     }
 
-    /// Hosts' clocks are off by as much as they may be.
+    /// Returns a clock that is off by the greatest error allowed, in a direction that depends on the host.
     fn clock(&self, host: u64) -> FakeClock {
         FakeClock {
             now_ms: self.now_ms.clone(),
@@ -291,11 +293,11 @@
         claims::age(key_ms(request.key), now_ms, RETENTION_MS) == KeyAge::Usable
     }
 
-    /// Requests that aren't over.
+    /// Returns the indexes of requests that haven't ended.
     fn live(&self) -> Vec<usize> {
-        let over = |r: &Request| matches!(r.stage, Stage::Over | Stage::Killed);
+        let ended = |r: &Request| matches!(r.stage, Stage::Ended | Stage::Killed);
         let all = self.requests.iter().enumerate();
-        all.filter(|(_, r)| !over(r)).map(|(at, _)| at).collect()
+        all.filter(|(_, r)| !ended(r)).map(|(at, _)| at).collect()
     }
 
     fn send(&mut self, host: u64, key: u64) {
@@ -306,28 +308,28 @@
             host,
             key,
             claim,
-            stage: Stage::Fresh,
+            stage: Stage::New,
         });
         if !self.usable(self.requests.len() - 1) {
-            self.not_run(self.requests.len() - 1);
+            self.end_not_run(self.requests.len() - 1);
         }
     }
 
-    fn ask(&mut self, at: usize, reader: usize) {
+    fn claim(&mut self, at: usize, reader: usize) {
         let request = &mut self.requests[at];
-        if !matches!(request.stage, Stage::Fresh | Stage::Asked(_)) {
+        if !matches!(request.stage, Stage::New | Stage::Claimed(_)) {
             return;
         }
-        if matches!(request.stage, Stage::Asked(_)) && !planted(Plant::AskAgain) {
-            let given_up = Release {
+        if matches!(request.stage, Stage::Claimed(_)) && !planted(Plant::AskAgain) {
+            let abandoned = Release {
                 id: request.claim.id.clone(),
                 key: request.claim.key.clone(),
             };
             request.claim.id.push('+');
-            self.readers[reader].notes.push(Body::Release(given_up));
+            self.readers[reader].queued.push(Body::Release(abandoned));
         }
         let (reply, verdict) = oneshot::channel();
-        request.stage = Stage::Asked(verdict);
+        request.stage = Stage::Claimed(verdict);
         self.readers[reader].claims.push(PendingClaim {
             claim: request.claim.clone(),
             key_ms: key_ms(request.key),
@@ -337,7 +339,7 @@
 
     fn receive(&mut self, at: usize) {
         let request = &mut self.requests[at];
-        let Stage::Asked(verdict) = &mut request.stage else {
+        let Stage::Claimed(verdict) = &mut request.stage else {
             return;
         };
         let Ok(verdict) = verdict.try_recv() else {
@@ -346,29 +348,29 @@
         match verdict {
             Ok(Verdict::Won) => request.stage = Stage::Won,
             Ok(Verdict::Lost(Standing::Done(_, outcome))) if outcome.status > 0 => {
-                self.oracle.tell_kept(request.key, &outcome.body);
-                request.stage = Stage::Over;
+                self.oracle.check_stored_answer(request.key, &outcome.body);
+                request.stage = Stage::Ended;
             }
             Ok(Verdict::Lost(Standing::Held(_) | Standing::Done(..))) => {
-                request.stage = Stage::Over;
+                request.stage = Stage::Ended;
             }
-            Ok(Verdict::Lost(Standing::Free)) | Err(LogDown) => self.not_run(at),
+            Ok(Verdict::Lost(Standing::Free)) | Err(LogDown) => self.end_not_run(at),
         }
     }
 
-    fn not_run(&mut self, at: usize) {
+    fn end_not_run(&mut self, at: usize) {
         let request = &mut self.requests[at];
-        request.stage = Stage::Over;
-        self.oracle.tell_not_run(request.key, at as u64);
+        request.stage = Stage::Ended;
+        self.oracle.record_not_run(request.key, at as u64);
     }
 
-    fn run(&mut self, at: usize, leaves: bool) {
+    fn run(&mut self, at: usize, sends: bool) {
         if !matches!(self.requests[at].stage, Stage::Won) {
             return;
         }
-        if leaves && self.usable(at) {
+        if sends && self.usable(at) {
             self.requests[at].stage = Stage::Running;
-            self.oracle.runs(self.requests[at].key, at as u64);
+            self.oracle.record_run(self.requests[at].key, at as u64);
             return;
         }
         let request = &self.requests[at];
@@ -377,8 +379,8 @@
             key: request.claim.key.clone(),
         };
         let reader = usize::try_from(request.host % HOSTS).unwrap();
-        self.readers[reader].notes.push(Body::Release(release));
-        self.not_run(at);
+        self.readers[reader].queued.push(Body::Release(release));
+        self.end_not_run(at);
     }
 
     fn finish(&mut self, at: usize, known: bool, reader: usize) {
@@ -386,7 +388,7 @@
         if !matches!(request.stage, Stage::Running) {
             return;
         }
-        request.stage = Stage::Over;
+        request.stage = Stage::Ended;
         let outcome = Outcome {
             id: request.claim.id.clone(),
             key: request.claim.key.clone(),
@@ -394,71 +396,71 @@
             body: at.to_string(),
             ..Outcome::default()
         };
-        self.readers[reader].notes.push(Body::Outcome(outcome));
+        self.readers[reader].queued.push(Body::Outcome(outcome));
     }
 
-    fn grant(&mut self, reader: u64, fault: Fault) {
-        if self.log.grant(reader, fault) {
+    fn execute(&mut self, reader: u64, fault: Fault) {
+        if self.log.execute(reader, fault) {
             self.readers[usize::try_from(reader).unwrap()].advance();
         }
     }
 
-    /// Sends, asks and runs in one go; `fault` strikes after some of the reader's calls.
-    fn serve(&mut self, host: u64, key: u64, after: u8, fault: Fault, leaves: bool) {
+    /// Sends, claims and runs a request; `fault` occurs after `after` of the reader's calls.
+    fn serve(&mut self, host: u64, key: u64, after: u8, fault: Fault, sends: bool) {
         let reader = usize::try_from(host).unwrap();
         self.send(host, key);
         let at = self.requests.len() - 1;
-        self.ask(at, reader);
+        self.claim(at, reader);
         self.readers[reader].begin();
-        (0..after).for_each(|_| self.grant(host, Fault::None));
-        self.grant(host, fault);
+        (0..after).for_each(|_| self.execute(host, Fault::None));
+        self.execute(host, fault);
         while self.readers[reader].running.is_some() {
-            self.grant(host, Fault::None);
+            self.execute(host, Fault::None);
         }
         self.receive(at);
-        self.run(at, leaves);
+        self.run(at, sends);
         self.finish(at, true, reader);
     }
 
-    /// Lets everything come to rest on a healthy log.
-    fn settle(&mut self) {
+    /// Completes all pending work on a healthy log.
+    fn quiesce(&mut self) {
         self.log.set_outage(false);
-        (0..64).for_each(|_| self.log.land(0));
+        (0..64).for_each(|_| self.log.deliver_delayed(0));
         for host in 0..HOSTS {
             let at = usize::try_from(host).unwrap();
             while !self.readers[at].idle() {
                 self.readers[at].begin();
                 while self.readers[at].running.is_some() {
-                    self.grant(host, Fault::None);
+                    self.execute(host, Fault::None);
                 }
             }
         }
     }
 
-    /// A key that no request ran, nor may be running, can be claimed: nothing holds it for ever.
+    /// Checks that a key can be claimed if no request of it ran or may be running.
     fn assert_free_keys_can_run(&mut self) {
         for key in 0..KEYS {
             let of_key = |r: &&Request| r.key == key;
-            let over = |r: &Request| matches!(r.stage, Stage::Over | Stage::Fresh);
-            let all_over = self.requests.iter().filter(of_key).all(over);
-            if !all_over || self.oracle.ran.contains_key(&key) {
+            let ended = |r: &Request| matches!(r.stage, Stage::Ended | Stage::New);
+            let all_ended = self.requests.iter().filter(of_key).all(ended);
+            if !all_ended || self.oracle.ran.contains_key(&key) {
                 continue;
             }
             self.send(1, key);
             let at = self.requests.len() - 1;
-            if !matches!(self.requests[at].stage, Stage::Fresh) {
+            if !matches!(self.requests[at].stage, Stage::New) {
                 continue;
             }
-            self.ask(at, 1);
-            self.settle();
+            self.claim(at, 1);
+            self.quiesce();
             self.receive(at);
             let won = matches!(self.requests[at].stage, Stage::Won);
-            assert!(won, "key {key} ran nowhere and is held for ever");
+            assert!(won, "key {key} didn't run and can't be claimed");
         }
     }
 }
 
-/// Callers mint keys at different times.
+/// Returns the time in `key`; each key has another.
 fn key_ms(key: u64) -> u64 {
     START_MS + key * 3 * CLOCK_MARGIN_MS
 }
@@ -466,89 +468,89 @@
 struct Claims;
 
 impl StateMachineTest for Claims {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Steps;
 
-    fn init_test((): &()) -> World {
-        World::new()
+    fn init_test((): &()) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, (): &(), step: Step) -> World {
+    fn apply(mut sim: Simulation, (): &(), step: Step) -> Simulation {
         count_step();
-        let live = world.live();
+        let live = sim.live();
         let request = |n: u8| live[usize::from(n) % live.len()];
         let reader = |n: u8| u64::from(n) % HOSTS;
         let at = |n: u8| usize::from(n) % usize::try_from(HOSTS).unwrap();
         let needs_request = matches!(
             step,
-            Step::Ask { .. }
+            Step::Claim { .. }
                 | Step::Receive { .. }
                 | Step::Run { .. }
                 | Step::Finish { .. }
                 | Step::Kill { .. }
         );
         if live.is_empty() && needs_request {
-            return world;
+            return sim;
         }
         match step {
-            Step::Send { host, key } => world.send(reader(host), u64::from(key) % KEYS),
-            Step::Ask {
+            Step::Send { host, key } => sim.send(reader(host), u64::from(key) % KEYS),
+            Step::Claim {
                 request: r,
                 reader: n,
-            } => world.ask(request(r), at(n)),
-            Step::Begin { reader: n } => world.readers[at(n)].begin(),
-            Step::Grant {
+            } => sim.claim(request(r), at(n)),
+            Step::Begin { reader: n } => sim.readers[at(n)].begin(),
+            Step::Execute {
                 reader: n,
                 count,
                 fault,
             } => {
-                (1..count).for_each(|_| world.grant(reader(n), Fault::None));
-                world.grant(reader(n), fault);
+                (1..count).for_each(|_| sim.execute(reader(n), Fault::None));
+                sim.execute(reader(n), fault);
             }
-            Step::Receive { request: r } => world.receive(request(r)),
-            Step::Run { request: r, leaves } => world.run(request(r), leaves),
+            Step::Receive { request: r } => sim.receive(request(r)),
+            Step::Run { request: r, sends } => sim.run(request(r), sends),
             Step::Finish {
                 request: r,
                 known,
                 reader: n,
-            } => world.finish(request(r), known, at(n)),
+            } => sim.finish(request(r), known, at(n)),
             Step::Crash { reader: n } => {
-                world.crashed |= !world.readers[at(n)].idle();
-                world.readers[at(n)] = world.reader(reader(n));
+                sim.crashed |= !sim.readers[at(n)].idle();
+                sim.readers[at(n)] = sim.reader(reader(n));
             }
             Step::Kill { request: r } => {
-                world.requests[request(r)].stage = Stage::Killed;
+                sim.requests[request(r)].stage = Stage::Killed;
             }
             Step::Serve {
                 host,
                 key,
                 after,
                 fault,
-                leaves,
-            } => world.serve(reader(host), u64::from(key) % KEYS, after, fault, leaves),
-            Step::Outage(outage) => world.log.set_outage(outage),
-            Step::Land(n) => world.log.land(n.into()),
+                sends,
+            } => sim.serve(reader(host), u64::from(key) % KEYS, after, fault, sends),
+            Step::Outage(outage) => sim.log.set_outage(outage),
+            Step::DeliverDelayed(n) => sim.log.deliver_delayed(n.into()),
             Step::Advance(n) => {
-                let now_ms = world.now_ms.get() + u64::from(n) * CLOCK_MARGIN_MS / 64;
-                world.now_ms.set(now_ms);
-                world.log.set_now(now_ms);
+                let now_ms = sim.now_ms.get() + u64::from(n) * CLOCK_MARGIN_MS / 64;
+                sim.now_ms.set(now_ms);
+                sim.log.set_now(now_ms);
             }
         }
-        world
+        sim
     }
 
-    fn teardown(mut world: World, (): ()) {
-        if !world.crashed {
-            world.settle();
-            world.assert_free_keys_can_run();
+    fn teardown(mut sim: Simulation, (): ()) {
+        if !sim.crashed {
+            sim.quiesce();
+            sim.assert_free_keys_can_run();
         }
     }
 }
 
-/// Callers send a key again and again through any router, while the log loses replies, doubles and
-/// delays appends and goes down, and while readers pause, crash and come back.
+/// Callers retry keys through any router, while the log loses replies, duplicates and delays appends and
+/// becomes unavailable, and while readers pause, crash and restart.
 #[test]
-fn unrepeatable_requests_run_at_most_once() {
+fn non_idempotent_requests_run_at_most_once() {
     finds_nothing::<Claims>("claims");
 }
 
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -1,4 +1,4 @@
-//! The configuration against a simple oracle: one list of changes, taken one after another.
+//! Fuzz tests of the configuration, against an oracle that applies all changes in sequence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,41 +25,41 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A router begins to read.
+    /// A router starts to poll the stream.
     Poll {
         router: u8,
     },
-    /// An operator changes a host's mark, against a version that may be old.
+    /// An operator marks a host as draining or not, against a version that may be outdated.
     Apply {
         router: u8,
         behind: u8,
         host: u8,
     },
-    /// A router begins to renew the snapshot.
+    /// A router starts to write a snapshot.
     Renew {
         router: u8,
     },
-    /// The log carries out some of a router's calls, the last with a fault.
-    Grant {
+    /// The log executes some of a router's calls, the last one with a fault.
+    Execute {
         router: u8,
         count: u8,
         fault: Fault,
     },
-    /// A router goes through what it does with a fault on the way.
-    Through {
+    /// A router completes its current operation, with a fault in one of the log calls.
+    Complete {
         router: u8,
         after: u8,
         fault: Fault,
     },
-    /// Which state peers answer with from now on; it may be an old one.
+    /// Selects the state, possibly an old one, that peers answer with from now on.
     Peer(Option<u8>),
-    /// A router is replaced by one that knows nothing.
+    /// A router is replaced by one that has read nothing.
     Crash {
         router: u8,
     },
     Outage(bool),
     /// A delayed append takes effect.
-    Land(u8),
+    DeliverDelayed(u8),
     Advance(u8),
 }
 
@@ -91,13 +91,13 @@
                 .prop_map(|(router, behind, host)| Step::Apply { router, behind, host }),
             3 => pick().prop_map(|router| Step::Renew { router }),
             10 => (pick(), 1..5_u8, fault())
-                .prop_map(|(router, count, fault)| Step::Grant { router, count, fault }),
+                .prop_map(|(router, count, fault)| Step::Execute { router, count, fault }),
             12 => (pick(), 0..4_u8, fault())
-                .prop_map(|(router, after, fault)| Step::Through { router, after, fault }),
+                .prop_map(|(router, after, fault)| Step::Complete { router, after, fault }),
             2 => prop::option::of(pick()).prop_map(Step::Peer),
             1 => pick().prop_map(|router| Step::Crash { router }),
             1 => prop::bool::weighted(0.3).prop_map(Step::Outage),
-            2 => pick().prop_map(Step::Land),
+            2 => pick().prop_map(Step::DeliverDelayed),
             3 => pick().prop_map(Step::Advance),
         ]
         .boxed()
@@ -106,11 +106,12 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// The configuration as one list of changes makes it, with no snapshots, peers or expiry.
+/// The configuration that results from applying all changes in sequence, without snapshots, peers or
+/// expiry.
 struct Oracle {
-    /// Version and marks before each offset.
+    /// Version and host marks before each offset.
     states: Vec<(u64, BTreeMap<String, bool>)>,
-    /// What became of the first copy of each change: its version, if it was accepted.
+    /// The version produced by the first copy of each change, or `None` if it was rejected.
     changes: BTreeMap<String, Option<u64>>,
 }
 
@@ -122,14 +123,14 @@
         }
     }
 
-    fn take(&mut self, text: &str) {
+    fn apply_record(&mut self, text: &str) {
         let (mut version, mut marks) = self.states.last().unwrap().clone();
         if let Some(Body::Change(change)) = config::parse(text).and_then(|r| r.body) {
             let accepted = change.against_version == version;
             if accepted {
                 version += 1;
                 let Some(Op::MarkHost(mark)) = change.op else {
-                    panic!("another change");
+                    panic!("unexpected kind of change");
                 };
                 marks.insert(mark.host, mark.draining);
             }
@@ -140,7 +141,7 @@
     }
 }
 
-/// Every state that any router had, for peers to answer with.
+/// Peers that answer with any state that some router has had.
 #[derive(Clone, Default)]
 struct FakePeers {
     states: Rc<RefCell<Vec<State>>>,
@@ -160,9 +161,9 @@
     }
 }
 
-struct NoPause;
+struct NoSleep;
 
-impl Pace for NoPause {
+impl Pace for NoSleep {
     fn now(&self) -> Now {
         Now::default()
     }
@@ -170,10 +171,10 @@
     async fn pause(&self, _: Duration) {}
 }
 
-type FakeFollower = Follower<FakeLog, FakePeers, NoPause>;
+type FakeFollower = Follower<FakeLog, FakePeers, NoSleep>;
 
-/// What an operator was told of the change that `author` names.
-struct Told {
+/// The result that was returned to an operator for the change identified by `author`.
+struct Reported {
     author: String,
     against_version: u64,
     outcome: Result<ApplyOutcome, ApplyError>,
@@ -181,38 +182,38 @@
 
 struct Router {
     follower: Option<FakeFollower>,
-    work: Option<Script<(FakeFollower, Option<Told>)>>,
-    /// Offset and version when it last came to rest.
+    work: Option<Script<(FakeFollower, Option<Reported>)>>,
+    /// Offset and version after the last completed operation.
     last: (u64, u64),
 }
 
-struct World {
+struct Simulation {
     log: FakeLog,
     peers: FakePeers,
     now_ms: u64,
     routers: Vec<Router>,
     oracle: Oracle,
     changes: u64,
-    told_not_applied: BTreeSet<String>,
+    reported_not_applied: BTreeSet<String>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             log: FakeLog::new(RETENTION_MS),
             peers: FakePeers::default(),
             now_ms: 0,
             routers: Vec::new(),
             oracle: Oracle::new(),
             changes: 0,
-            told_not_applied: BTreeSet::new(),
+            reported_not_applied: BTreeSet::new(),
         };
-        world.routers = (0..ROUTERS).map(|at| world.router(at)).collect();
-        world
+        sim.routers = (0..ROUTERS).map(|at| sim.router(at)).collect();
+        sim
     }
 
     fn router(&self, at: u64) -> Router {
-        let follower = Follower::new(self.log.actor(at), self.peers.clone(), NoPause);
+        let follower = Follower::new(self.log.actor(at), self.peers.clone(), NoSleep);
         Router {
             follower: Some(follower),
             work: None,
@@ -236,7 +237,7 @@
             return;
         };
         self.routers[at].work = Some(Box::pin(async move {
-            // A snapshot that failed is renewed at the next turn.
+            // A failed snapshot is written by a later step.
             let _ = follower.write_snapshot().await;
             (follower, None)
         }));
@@ -262,41 +263,41 @@
         };
         self.routers[at].work = Some(Box::pin(async move {
             let outcome = follower.apply(change, &mut |_, _| {}).await;
-            let told = Told {
+            let reported = Reported {
                 author,
                 against_version,
                 outcome,
             };
-            (follower, Some(told))
+            (follower, Some(reported))
         }));
         self.advance(at);
     }
 
-    fn grant(&mut self, at: usize, fault: Fault) {
-        if self.log.grant(at as u64, fault) {
+    fn execute(&mut self, at: usize, fault: Fault) {
+        if self.log.execute(at as u64, fault) {
             self.advance(at);
         }
     }
 
-    fn through(&mut self, at: usize, after: u8, fault: Fault) {
-        (0..after).for_each(|_| self.grant(at, Fault::None));
-        self.grant(at, fault);
+    fn complete(&mut self, at: usize, after: u8, fault: Fault) {
+        (0..after).for_each(|_| self.execute(at, Fault::None));
+        self.execute(at, fault);
         while self.routers[at].work.is_some() {
-            self.grant(at, Fault::None);
+            self.execute(at, Fault::None);
         }
     }
 
-    /// Runs a router's work until it waits for the log; checks it when it comes to rest.
+    /// Runs a router's operation until it waits for the log; checks the router once it is complete.
     fn advance(&mut self, at: usize) {
         let done = self.routers[at].work.as_mut().and_then(step);
-        let Some((follower, told)) = done else {
+        let Some((follower, reported)) = done else {
             return;
         };
         self.routers[at].work = None;
-        self.learn();
+        self.update_oracle();
         self.check(at, &follower);
-        if let Some(told) = told {
-            self.told(told);
+        if let Some(reported) = reported {
+            self.check_report(reported);
         }
         self.peers
             .states
@@ -305,10 +306,10 @@
         self.routers[at].follower = Some(follower);
     }
 
-    fn learn(&mut self) {
+    fn update_oracle(&mut self) {
         let known = self.oracle.states.len() - 1;
         for text in self.log.archive(STREAM, known) {
-            self.oracle.take(&text);
+            self.oracle.apply_record(&text);
         }
     }
 
@@ -324,42 +325,50 @@
         assert_eq!(&of_router.collect::<BTreeMap<_, _>>(), marks);
     }
 
-    fn told(&mut self, told: Told) {
-        let verdict = self.oracle.changes.get(&told.author).copied();
-        match told.outcome {
+    fn check_report(&mut self, reported: Reported) {
+        let verdict = self.oracle.changes.get(&reported.author).copied();
+        match reported.outcome {
             Ok(ApplyOutcome {
                 applied: Applied::Accepted { version },
                 ..
-            }) => assert_eq!(verdict, Some(Some(version)), "told accepted"),
+            }) => assert_eq!(verdict, Some(Some(version)), "reported as accepted"),
             Ok(ApplyOutcome {
                 applied: Applied::Raced { winner, .. },
                 offset,
             }) => {
-                assert_ne!(verdict, Some(Some(told.against_version + 1)), "told raced");
+                assert_ne!(
+                    verdict,
+                    Some(Some(reported.against_version + 1)),
+                    "reported as raced"
+                );
                 let at = usize::try_from(offset).unwrap();
                 let (version, _) = self.oracle.states[at];
-                assert_ne!(version, told.against_version, "told raced, and nobody won");
+                assert_ne!(
+                    version, reported.against_version,
+                    "reported as raced, but no change won"
+                );
                 assert!(version == 0 || !winner.is_empty(), "the winner isn't named");
             }
-            Ok(outcome) => panic!("told {outcome:?}"),
+            Ok(outcome) => panic!("unexpected outcome {outcome:?}"),
             Err(ApplyError::NotApplied { .. }) => {
-                self.told_not_applied.insert(told.author);
+                self.reported_not_applied.insert(reported.author);
             }
             Err(ApplyError::Unknown { .. }) => {}
         }
     }
 
-    /// The log recovers: all who can read it agree, and nothing told as not applied is in it.
-    fn settle(&mut self) {
+    /// The log recovers: checks that all routers that can read it agree, and that no change reported as
+    /// not applied is in it.
+    fn quiesce(&mut self) {
         self.log.set_outage(false);
         self.peers.answer.set(None);
-        (0..64).for_each(|_| self.log.land(0));
+        (0..64).for_each(|_| self.log.deliver_delayed(0));
         for at in 0..self.routers.len() {
-            self.through(at, 0, Fault::None);
+            self.complete(at, 0, Fault::None);
         }
         for at in 0..self.routers.len() {
             self.poll(at);
-            self.through(at, 0, Fault::None);
+            self.complete(at, 0, Fault::None);
         }
         let end = self.oracle.states.len() as u64 - 1;
         for router in &self.routers {
@@ -368,9 +377,12 @@
                 assert_eq!(follower.state().offset, end, "read to the end");
             }
         }
-        for author in &self.told_not_applied {
+        for author in &self.reported_not_applied {
             let found = self.oracle.changes.contains_key(author);
-            assert!(!found, "{author} was told not applied and is in the log");
+            assert!(
+                !found,
+                "{author} was reported as not applied and is in the log"
+            );
         }
     }
 }
@@ -378,58 +390,58 @@
 struct Configuration;
 
 impl StateMachineTest for Configuration {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Steps;
 
-    fn init_test((): &()) -> World {
-        World::new()
+    fn init_test((): &()) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, (): &(), step: Step) -> World {
+    fn apply(mut sim: Simulation, (): &(), step: Step) -> Simulation {
         count_step();
         let at = |n: u8| usize::from(n) % usize::try_from(ROUTERS).unwrap();
         match step {
-            Step::Poll { router } => world.poll(at(router)),
+            Step::Poll { router } => sim.poll(at(router)),
             Step::Apply {
                 router,
                 behind,
                 host,
-            } => world.apply(at(router), behind, host),
-            Step::Renew { router } => world.write_snapshot(at(router)),
-            Step::Grant {
+            } => sim.apply(at(router), behind, host),
+            Step::Renew { router } => sim.write_snapshot(at(router)),
+            Step::Execute {
                 router,
                 count,
                 fault,
             } => {
-                (1..count).for_each(|_| world.grant(at(router), Fault::None));
-                world.grant(at(router), fault);
+                (1..count).for_each(|_| sim.execute(at(router), Fault::None));
+                sim.execute(at(router), fault);
             }
-            Step::Through {
+            Step::Complete {
                 router,
                 after,
                 fault,
-            } => world.through(at(router), after, fault),
-            Step::Peer(answer) => world.peers.answer.set(answer),
+            } => sim.complete(at(router), after, fault),
+            Step::Peer(answer) => sim.peers.answer.set(answer),
             Step::Crash { router } => {
-                world.routers[at(router)] = world.router(at(router) as u64);
+                sim.routers[at(router)] = sim.router(at(router) as u64);
             }
-            Step::Outage(outage) => world.log.set_outage(outage),
-            Step::Land(n) => world.log.land(n.into()),
+            Step::Outage(outage) => sim.log.set_outage(outage),
+            Step::DeliverDelayed(n) => sim.log.deliver_delayed(n.into()),
             Step::Advance(n) => {
-                world.now_ms += u64::from(n);
-                world.log.set_now(world.now_ms);
+                sim.now_ms += u64::from(n);
+                sim.log.set_now(sim.now_ms);
             }
         }
-        world
+        sim
     }
 
-    fn teardown(mut world: World, (): ()) {
-        world.settle();
+    fn teardown(mut sim: Simulation, (): ()) {
+        sim.quiesce();
     }
 }
 
-/// Operators race one another while the log loses replies, doubles and delays appends, forgets old
-/// records and goes down, and while routers pause, are replaced, and learn from peers.
+/// Operators make concurrent changes while the log loses replies, duplicates and delays appends, expires
+/// records and becomes unavailable, and while routers pause, are replaced, and fetch states from peers.
 #[test]
 fn accepted_configuration_never_reverts() {
     finds_nothing::<Configuration>("config");
--- a/src/log/fake_tests.rs
+++ b/src/log/fake_tests.rs
@@ -1,4 +1,4 @@
-//! A log for the fuzzers: each call waits until the fuzzer grants it, with the fault it drew.
+//! A fake log for fuzz tests: each call waits until the test executes it, with or without a fault.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,19 +9,19 @@
 
 use crate::log::{Batch, Entry, Log, LogError};
 
-/// What happens to one call.
+/// A fault in one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// The call has no effect, and the caller knows.
+    /// The call has no effect and returns an error that says so.
     Refused,
-    /// The append takes effect, and its reply is lost.
+    /// The append takes effect, but its reply is lost.
     ReplyLost,
     /// The append takes effect twice.
     Doubled,
-    /// The append's reply is lost, and it takes effect later or never.
+    /// The append's reply is lost, and the append takes effect later or never.
     Delayed,
-    /// The read misses this many of the newest records.
+    /// The read doesn't return this many of the newest records.
     Stale(u8),
 }
 
@@ -60,12 +60,12 @@
     streams: BTreeMap<String, Stream>,
     calls: BTreeMap<u64, Call>,
     replies: BTreeMap<u64, Reply>,
-    in_network: Vec<(String, Vec<String>)>,
-    /// Every record ever stored, expired ones too.
+    delayed: Vec<(String, Vec<String>)>,
+    /// Every record ever stored, including expired ones.
     archive: BTreeMap<String, Vec<String>>,
 }
 
-/// The log as one actor sees it; `actor` tells the calls apart.
+/// A handle to the log for one actor, which has at most one call waiting.
 #[derive(Clone)]
 pub(crate) struct FakeLog {
     state: Rc<RefCell<State>>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The same log for another actor, whose earlier calls are forgotten.
+    /// Returns a handle for another actor and drops the actor's earlier calls.
     pub(crate) fn actor(&self, actor: u64) -> Self {
         let mut state = self.state.borrow_mut();
         state.calls.remove(&actor);
@@ -99,32 +99,32 @@
         self.state.borrow_mut().outage = outage;
     }
 
-    /// Moves time on; records older than the retention are gone.
+    /// Sets the time and removes records older than the retention.
     pub(crate) fn set_now(&self, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         state.now_ms = now_ms;
-        let keep_ms = state.retention_ms;
+        let retention_ms = state.retention_ms;
         for stream in state.streams.values_mut() {
-            let expired = |r: &Stored| r.at_ms + keep_ms < now_ms;
+            let expired = |r: &Stored| r.at_ms + retention_ms < now_ms;
             let count = stream.records.iter().take_while(|r| expired(r)).count();
             stream.records.drain(..count);
             stream.first += count as u64;
         }
     }
 
-    /// Lets one delayed append take effect.
-    pub(crate) fn land(&self, which: usize) {
+    /// Executes one delayed append.
+    pub(crate) fn deliver_delayed(&self, which: usize) {
         let mut state = self.state.borrow_mut();
-        if state.in_network.is_empty() {
+        if state.delayed.is_empty() {
             return;
         }
-        let at = which % state.in_network.len();
-        let (stream, records) = state.in_network.remove(at);
+        let at = which % state.delayed.len();
+        let (stream, records) = state.delayed.remove(at);
         state.store(&stream, records);
     }
 
-    /// Carries the waiting call of `actor` out; tells whether there was one.
-    pub(crate) fn grant(&self, actor: u64, fault: Fault) -> bool {
+    /// Executes the waiting call of `actor`; returns whether there was one.
+    pub(crate) fn execute(&self, actor: u64, fault: Fault) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(call) = state.calls.remove(&actor) else {
             return false;
@@ -137,7 +137,7 @@
         true
     }
 
-    /// The records ever stored in `stream` from `from` on; a record's place is its offset.
+    /// Returns all records ever stored in `stream` from offset `from` on.
     pub(crate) fn archive(&self, stream: &str, from: usize) -> Vec<String> {
         let state = self.state.borrow();
         let all = state.archive.get(stream).map_or(&[][..], Vec::as_slice);
@@ -183,7 +183,7 @@
                 indeterminate
             }
             Fault::Delayed => {
-                self.in_network.push((name.to_owned(), records));
+                self.delayed.push((name.to_owned(), records));
                 indeterminate
             }
             Fault::Doubled => {
@@ -226,22 +226,22 @@
     async fn append(&self, stream: &str, records: Vec<String>) -> Result<u64, LogError> {
         match self.call(Call::Append(stream.to_owned(), records)).await {
             Reply::Append(reply) => reply,
-            Reply::Read(_) => unreachable!("an append is answered as one"),
+            Reply::Read(_) => unreachable!("an append has an append's reply"),
         }
     }
 
     async fn read(&self, stream: &str, from: u64, max: usize) -> Result<Batch, LogError> {
         match self.call(Call::Read(stream.to_owned(), from, max)).await {
             Reply::Read(reply) => reply,
-            Reply::Append(_) => unreachable!("a read is answered as one"),
+            Reply::Append(_) => unreachable!("a read has a read's reply"),
         }
     }
 }
 
-/// A future that the fuzzer runs step by step; dropping it is a crash, leaving it a pause.
+/// A future that the test polls step by step. Dropping it simulates a crash, not polling it a pause.
 pub(crate) type Script<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Runs `script` until it waits for a grant.
+/// Runs `script` until it waits for a call to be executed.
 pub(crate) fn step<T>(script: &mut Script<T>) -> Option<T> {
     let mut cx = Context::from_waker(Waker::noop());
     match script.as_mut().poll(&mut cx) {
--- a/src/log/fuzz_tests.rs
+++ b/src/log/fuzz_tests.rs
@@ -1,4 +1,4 @@
-//! How the fuzzers are run: short with fixed seeds in CI, long on demand, and with planted faults.
+//! Runs the fuzz tests: short with fixed seeds in CI, long on demand, and with injected faults.
 
 use std::any::Any;
 use std::cell::Cell;
@@ -13,7 +13,7 @@
 const CASES: u32 = 40;
 const STEPS: std::ops::Range<usize> = 20..200;
 const SEED: u64 = 20_261_202;
-/// A planted fault must show within this many cases.
+/// An injected fault must be found within this many cases.
 const PLANT_CASES: u32 = 20_000;
 
 thread_local! {
@@ -21,7 +21,7 @@
     static FOUND: Cell<bool> = const { Cell::new(false) };
 }
 
-/// To be called once a step.
+/// Counts one step; to be called at each.
 pub(crate) fn count_step() {
     if !FOUND.get() {
         STEPS_TAKEN.set(STEPS_TAKEN.get() + 1);
@@ -63,7 +63,7 @@
         let case = || T::test_sequential(config.clone(), state, transitions, seen);
         let outcome = std::panic::catch_unwind(AssertUnwindSafe(case));
         outcome.map_err(|why| {
-            // What shrinking adds is not counted.
+            // Steps taken while shrinking aren't counted.
             FOUND.set(true);
             TestCaseError::fail(message(why.as_ref()))
         })
@@ -77,7 +77,7 @@
     }
 }
 
-/// `FUZZ_CASES` and `FUZZ_SEED` make it long; the seed and the steps are printed.
+/// Runs the test `name` and fails if a case does. `FUZZ_CASES` and `FUZZ_SEED` override the defaults.
 pub(crate) fn finds_nothing<T>(name: &str)
 where
     T: StateMachineTest,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Plants `fault` and expects the fuzzer to find it.
+/// Runs the test `name` with `fault` injected and fails if no case does.
 pub(crate) fn finds<T>(name: &str, fault: Plant)
 where
     T: StateMachineTest,
@@ -118,7 +118,7 @@
     println!("fuzz {name}: seed {seed}, {fault:?} found after {steps} steps");
 }
 
-/// A boxed strategy over small numbers, to pick one of a few things by remainder.
+/// A strategy over small numbers, from which the caller picks an item by remainder.
 pub(crate) fn pick() -> impl Strategy<Value = u8> {
     proptest::num::u8::ANY
 }
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -1,4 +1,5 @@
-//! Leases against a simple oracle: one holder at a time, and orders that never go back.
+//! Fuzz tests of leases: at most one holder at a time, and orders arrive in the order of their fencing
+//! numbers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,33 +18,33 @@
 
 const HOSTS: u64 = 3;
 const RETENTION_MS: u64 = 20 * TERM_MS;
-/// The longest that an order may take from its last check to the upstream.
+/// Maximum time between the last check of an order and its arrival at the upstream.
 const LONGEST_PAUSE_MS: u64 = TERM_MS / 3;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A host begins to take or renew the lease.
-    Take {
+    /// A host starts to acquire or renew the lease.
+    Acquire {
         host: u8,
     },
-    /// The log carries out some of a host's calls, the last with a fault.
-    Grant {
+    /// The log executes some of a host's calls, the last one with a fault.
+    Execute {
         host: u8,
         count: u8,
         fault: Fault,
     },
-    /// A host goes through what it does with a fault on the way.
-    Through {
+    /// A host completes its current operation, with a fault in one of the log calls.
+    Complete {
         host: u8,
         after: u8,
         fault: Fault,
     },
-    /// A host that holds a lease sends an order, which takes a while to arrive.
+    /// A host that holds a lease sends an order, which arrives after a delay.
     Order {
         host: u8,
         delay: u8,
     },
-    /// A host begins to end its lease.
+    /// A host starts to end its lease.
     End {
         host: u8,
     },
@@ -53,7 +54,7 @@
     },
     Outage(bool),
     /// A delayed append takes effect.
-    Land(u8),
+    DeliverDelayed(u8),
     Advance(u8),
 }
 
@@ -80,16 +81,16 @@
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
         prop_oneof![
-            8 => pick().prop_map(|host| Step::Take { host }),
+            8 => pick().prop_map(|host| Step::Acquire { host }),
             8 => (pick(), 1..4_u8, fault())
-                .prop_map(|(host, count, fault)| Step::Grant { host, count, fault }),
+                .prop_map(|(host, count, fault)| Step::Execute { host, count, fault }),
             12 => (pick(), 0..3_u8, fault())
-                .prop_map(|(host, after, fault)| Step::Through { host, after, fault }),
+                .prop_map(|(host, after, fault)| Step::Complete { host, after, fault }),
             6 => (pick(), pick()).prop_map(|(host, delay)| Step::Order { host, delay }),
             2 => pick().prop_map(|host| Step::End { host }),
             1 => pick().prop_map(|host| Step::Crash { host }),
             1 => prop::bool::weighted(0.3).prop_map(Step::Outage),
-            2 => pick().prop_map(Step::Land),
+            2 => pick().prop_map(Step::DeliverDelayed),
             6 => pick().prop_map(Step::Advance),
         ]
         .boxed()
@@ -123,37 +124,38 @@
     lessor: Option<FakeLessor>,
     work: Option<Script<Done>>,
     lease: Option<Lease>,
-    /// Before this the upstream may still receive a predecessor's order.
+    /// Until this time the upstream may still receive an order of the previous holder.
     orders_from_ms: u64,
 }
 
-struct World {
+struct Simulation {
     log: FakeLog,
     now_ms: Rc<Cell<u64>>,
     hosts: Vec<Host>,
     incarnations: u64,
-    /// Arrival time and fencing number of orders under way.
-    sent: Vec<(u64, u64)>,
-    /// The greatest fencing number of a lease held, and of an order arrived.
+    /// Arrival times and fencing numbers of orders that haven't arrived.
+    in_transit: Vec<(u64, u64)>,
+    /// One more than the greatest fencing number of a granted lease.
     last_lease: u64,
+    /// The greatest fencing number of an order that has arrived.
     last_order: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let log = FakeLog::new(RETENTION_MS);
         let now_ms = Rc::new(Cell::new(1));
-        let mut world = Self {
+        let mut sim = Self {
             log,
             now_ms,
             hosts: Vec::new(),
             incarnations: 0,
-            sent: Vec::new(),
+            in_transit: Vec::new(),
             last_lease: 0,
             last_order: 0,
         };
-        world.hosts = (0..HOSTS).map(|at| world.host(at)).collect();
-        world
+        sim.hosts = (0..HOSTS).map(|at| sim.host(at)).collect();
+        sim
     }
 
     fn host(&mut self, at: u64) -> Host {
@@ -171,7 +173,7 @@
         }
     }
 
-    fn take(&mut self, at: usize) {
+    fn acquire(&mut self, at: usize) {
         let Some(mut lessor) = self.hosts[at].lessor.take() else {
             return;
         };
@@ -193,24 +195,24 @@
             return;
         };
         self.hosts[at].work = Some(Box::pin(async move {
-            // Unended, the lease runs out.
+            // If the append fails, the lease expires.
             let _ = lessor.end(&lease).await;
             (lessor, None)
         }));
         self.advance(at);
     }
 
-    fn grant(&mut self, at: usize, fault: Fault) {
-        if self.log.grant(at as u64, fault) {
+    fn execute(&mut self, at: usize, fault: Fault) {
+        if self.log.execute(at as u64, fault) {
             self.advance(at);
         }
     }
 
-    fn through(&mut self, at: usize, after: u8, fault: Fault) {
-        (0..after).for_each(|_| self.grant(at, Fault::None));
-        self.grant(at, fault);
+    fn complete(&mut self, at: usize, after: u8, fault: Fault) {
+        (0..after).for_each(|_| self.execute(at, Fault::None));
+        self.execute(at, fault);
         while self.hosts[at].work.is_some() {
-            self.grant(at, Fault::None);
+            self.execute(at, Fault::None);
         }
     }
 
@@ -223,10 +225,13 @@
         host.work = None;
         host.lessor = Some(lessor);
         if let Some(Ok(lease)) = taken {
-            assert!(lease.fencing + 1 > self.last_lease, "an old fencing number");
+            assert!(
+                lease.fencing + 1 > self.last_lease,
+                "the fencing number didn't grow"
+            );
             self.last_lease = lease.fencing + 1;
             if lease.taken_over {
-                // An order of the holder before may be under way.
+                // An order of the previous holder may not have arrived yet.
                 host.orders_from_ms = self.now_ms.get() + LONGEST_PAUSE_MS;
             }
             host.lease = Some(lease);
@@ -244,7 +249,7 @@
         until.is_some_and(|until_ms| clock.now().mono_ms < until_ms)
     }
 
-    /// Two hosts must never believe that they may give orders.
+    /// Checks that at most one host considers itself the holder.
     fn check(&self) {
         let holders = (0..self.hosts.len()).filter(|at| self.holds(*at)).count();
         assert!(holders <= 1, "{holders} hosts hold the lease");
@@ -260,20 +265,20 @@
             return;
         };
         let delay_ms = u64::from(delay) * LONGEST_PAUSE_MS / 256;
-        // The next order waits for this one's answer.
+        // The next order is sent after the answer to this one.
         host.orders_from_ms = now_ms + delay_ms;
-        self.sent.push((now_ms + delay_ms, lease.fencing));
+        self.in_transit.push((now_ms + delay_ms, lease.fencing));
     }
 
-    /// The upstream ignores fencing numbers: only time keeps an old holder's order from arriving
-    /// after its successor's.
-    fn arrive(&mut self) {
-        self.sent.sort_unstable();
+    /// Delivers the orders that are due. The upstream ignores fencing numbers: only the waiting time
+    /// prevents an order of a previous holder from arriving after one of its successor.
+    fn deliver_orders(&mut self) {
+        self.in_transit.sort_unstable();
         let now_ms = self.now_ms.get();
-        while let Some((at_ms, fencing)) = self.sent.first().copied()
+        while let Some((at_ms, fencing)) = self.in_transit.first().copied()
             && at_ms <= now_ms
         {
-            self.sent.remove(0);
+            self.in_transit.remove(0);
             assert!(
                 fencing >= self.last_order,
                 "an old order arrived after a new one"
@@ -286,50 +291,50 @@
 struct Leases;
 
 impl StateMachineTest for Leases {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Steps;
 
-    fn init_test((): &()) -> World {
-        World::new()
+    fn init_test((): &()) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, (): &(), step: Step) -> World {
+    fn apply(mut sim: Simulation, (): &(), step: Step) -> Simulation {
         count_step();
         let at = |n: u8| usize::from(n) % usize::try_from(HOSTS).unwrap();
         match step {
-            Step::Take { host } => world.take(at(host)),
-            Step::Grant { host, count, fault } => {
-                (1..count).for_each(|_| world.grant(at(host), Fault::None));
-                world.grant(at(host), fault);
+            Step::Acquire { host } => sim.acquire(at(host)),
+            Step::Execute { host, count, fault } => {
+                (1..count).for_each(|_| sim.execute(at(host), Fault::None));
+                sim.execute(at(host), fault);
             }
-            Step::Through { host, after, fault } => world.through(at(host), after, fault),
-            Step::Order { host, delay } => world.order(at(host), delay),
-            Step::End { host } => world.end(at(host)),
+            Step::Complete { host, after, fault } => sim.complete(at(host), after, fault),
+            Step::Order { host, delay } => sim.order(at(host), delay),
+            Step::End { host } => sim.end(at(host)),
             Step::Crash { host } => {
                 let at = at(host);
-                world.hosts[at] = world.host(at as u64);
+                sim.hosts[at] = sim.host(at as u64);
             }
-            Step::Outage(outage) => world.log.set_outage(outage),
-            Step::Land(n) => world.log.land(n.into()),
+            Step::Outage(outage) => sim.log.set_outage(outage),
+            Step::DeliverDelayed(n) => sim.log.deliver_delayed(n.into()),
             Step::Advance(n) => {
                 let by_ms = u64::from(n) * TERM_MS / 200;
-                world.now_ms.set(world.now_ms.get() + by_ms);
-                world.log.set_now(world.now_ms.get());
-                world.arrive();
+                sim.now_ms.set(sim.now_ms.get() + by_ms);
+                sim.log.set_now(sim.now_ms.get());
+                sim.deliver_orders();
             }
         }
-        world
+        sim
     }
 
-    fn check_invariants(world: &World, (): &()) {
-        world.check();
+    fn check_invariants(sim: &Simulation, (): &()) {
+        sim.check();
     }
 }
 
-/// Hosts race for the right to give orders while the log loses replies, delays and doubles appends
-/// and shows old reads, and while holders pause past their term, crash and come back.
+/// Hosts compete for a lease while the log loses replies, delays and duplicates appends and returns stale
+/// reads, and while holders pause beyond their term, crash and restart.
 #[test]
-fn one_host_at_a_time_gives_orders() {
+fn lease_has_at_most_one_holder() {
     finds_nothing::<Leases>("leases");
 }
 
