--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -275,7 +275,7 @@
         sim
     }
 
-    /// Returns a clock that is off by the greatest error allowed, in a direction that depends on the host.
+    /// Returns the clock of `host`: behind by the greatest error allowed, exact, or ahead by it.
     fn clock(&self, host: u64) -> FakeClock {
         FakeClock {
             now_ms: self.now_ms.clone(),
