--- a/benches/policies/sim/mod.rs
+++ b/benches/policies/sim/mod.rs
@@ -10,8 +10,8 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use cassiagrade::decide::home::{Home, HomePolicy};
+use cassiagrade::decide::lru::LruCache;
 use cassiagrade::decide::placement::PoolIndex;
-use cassiagrade::decide::warm::Warm;
 use cassiagrade::decide::{ChatKey, Name, Rates};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -58,7 +58,7 @@
     pool: PoolIndex,
     /// By router: what it believes of each engine.
     views: Vec<Vec<Seen>>,
-    memory: Vec<Warm<(usize, u32)>>,
+    memory: Vec<LruCache<(usize, u32)>>,
     chats: Vec<Chat>,
     ready: Vec<BinaryHeap<Reverse<(u64, usize)>>>,
     requests: HashMap<u64, (Request, usize)>,
@@ -94,7 +94,7 @@
             alive: Vec::new(),
             pool: PoolIndex::default(),
             views: vec![Vec::new(); setup.routers],
-            memory: (0..setup.routers).map(|_| Warm::new(200_000)).collect(),
+            memory: (0..setup.routers).map(|_| LruCache::new(200_000)).collect(),
             chats: Vec::new(),
             ready: vec![BinaryHeap::new(); ACCOUNTS.len()],
             requests: HashMap::new(),
--- a/benches/policies/sim/model.rs
+++ b/benches/policies/sim/model.rs
@@ -1,7 +1,7 @@
 //! The modelled sites, callers and engines.
 
 use cassiagrade::decide::ChatKey;
-use cassiagrade::decide::warm::Warm;
+use cassiagrade::decide::lru::LruCache;
 use rand::Rng;
 use rand::rngs::SmallRng;
 
@@ -165,7 +165,7 @@
     pub(crate) alive: bool,
     pub(crate) born_ms: u64,
     pub(crate) slow: f64,
-    pub(crate) cache: Warm<u32>,
+    pub(crate) cache: LruCache<u32>,
 }
 
 impl Engine {
@@ -174,7 +174,7 @@
             alive: true,
             born_ms,
             slow,
-            cache: Warm::new(CACHE_TOKENS),
+            cache: LruCache::new(CACHE_TOKENS),
         }
     }
 
--- a/codegen/src/main.rs
+++ b/codegen/src/main.rs
@@ -31,17 +31,26 @@
         )
         .field_attribute(".peer.Forward.body", "#[serde(with = \"serde_bytes\")]")
         .field_attribute(".peer.Header.value", "#[serde(with = \"serde_bytes\")]")
-        .field_attribute(".peer.NewsGive.config", "#[serde(with = \"serde_bytes\")]")
-        .field_attribute(".peer.NewsGive.changes", "#[serde(with = \"serde_bytes\")]")
         .field_attribute(
-            ".peer.NewsGive.all_upstreams",
+            ".peer.LogSyncReply.config",
             "#[serde(with = \"serde_bytes\")]",
         )
         .field_attribute(
-            ".peer.UpstreamNews.record",
+            ".peer.LogSyncReply.changes",
+            "#[serde(with = \"serde_bytes\")]",
+        )
+        .field_attribute(
+            ".peer.LogSyncReply.all_upstreams",
+            "#[serde(with = \"serde_bytes\")]",
+        )
+        .field_attribute(
+            ".peer.UpstreamChange.record",
+            "#[serde(with = \"serde_bytes\")]",
+        )
+        .field_attribute(
+            ".peer.StoredAnswer.body",
             "#[serde(with = \"serde_bytes\")]",
         )
-        .field_attribute(".peer.KeptAnswer.body", "#[serde(with = \"serde_bytes\")]")
         .field_attribute(".peer.Frame.body.chunk", "#[serde(with = \"serde_bytes\")]")
         .compile_fds(fds)?;
     Ok(())
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -11,11 +11,11 @@
 use crate::config::KEYED_LOG;
 use crate::exporter::Exporter;
 use crate::logs;
-use crate::outlet::Outlet;
 use crate::reload::Watch;
 use crate::routed::Routed;
 use crate::router::{Outputs, Router};
 use crate::schema::settings::Settings;
+use crate::stdout_writer::StdoutWriter;
 
 /// A process that ends waits this long for its last log lines to be read.
 const LAST_LINES: Duration = Duration::from_millis(200);
@@ -41,19 +41,19 @@
 pub fn run(args: Args) -> Result<(), CmdError> {
     let watch = Watch::open(&args.settings)?;
     let settings = crate::config::load(&args.settings)?;
-    let outlet = Outlet::spawn();
-    logs::init(&settings, outlet.clone());
-    stop_on_panic(outlet.clone());
+    let writer = StdoutWriter::spawn();
+    logs::init(&settings, writer.clone());
+    stop_on_panic(writer.clone());
     let metrics = Exporter::install()
         .inspect_err(|e| log::error!("no metrics: {e}"))
         .ok();
     let events = settings.output.as_ref().is_some_and(|o| o.events);
     let outputs = Outputs {
-        events: events.then(|| Box::new(outlet.clone()) as _),
+        events: events.then(|| Box::new(writer.clone()) as _),
         metrics,
     };
     let ended = serve(settings, outputs, watch);
-    outlet.flush_within(LAST_LINES);
+    writer.flush_within(LAST_LINES);
     ended
 }
 
@@ -86,12 +86,12 @@
 ///
 /// The runtime keeps a task's panic to itself. Without the task that owns the configuration, say, a
 /// router would go on answering probes and callers with what it last knew; gone, it is replaced.
-fn stop_on_panic(outlet: Outlet) {
+fn stop_on_panic(writer: StdoutWriter) {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         log::error!("a task panicked, the router stops: {info}");
         report(info);
-        outlet.flush_within(LAST_LINES);
+        writer.flush_within(LAST_LINES);
         std::process::abort();
     }));
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -27,7 +27,7 @@
 
 use crate::decide::allowance;
 use crate::decide::classes::ClassQueue;
-use crate::decide::refusal::{Cause, Refusal, spread_ms};
+use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::decide::{Job, JobId, Priority, Rates};
 
 /// A queue that was never empty for this long isn't a burst: some times what a request takes.
@@ -51,7 +51,7 @@
 
 /// How much of a service one router may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Room {
+pub struct Quota {
     /// Requests that it may run.
     pub allowed: u32,
     /// The others leave places free: this router gets more of them as soon as it has told that it
@@ -61,7 +61,7 @@
 
 /// A request that asks to start.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Who, how urgent, how much.
     pub job: Job,
     /// Time until its answer or a stream's first event that its caller wants kept.
@@ -123,9 +123,9 @@
     ///
     /// ```
     /// use cassiagrade::decide::admission::Admission;
-    /// assert_eq!(Admission::default().wanted(), 0);
+    /// assert_eq!(Admission::default().demand(), 0);
     /// ```
-    pub fn wanted(&self) -> u32 {
+    pub fn demand(&self) -> u32 {
         let wanted = self.running.len() + self.queue.len();
         u32::try_from(wanted).unwrap_or(u32::MAX)
     }
@@ -147,26 +147,32 @@
     }
 
     /// Decides on a request that isn't known here yet.
-    pub fn offer<R: Rng>(&mut self, ask: Ask, room: Room, now_ms: u64, rng: &mut R) -> Offer {
-        let Ask { job, objective_ms } = ask;
+    pub fn offer<R: Rng>(
+        &mut self,
+        ask: AdmissionRequest,
+        quota: Quota,
+        now_ms: u64,
+        rng: &mut R,
+    ) -> Offer {
+        let AdmissionRequest { job, objective_ms } = ask;
         let shortest_ms = self.objective_ms.get_or_insert(objective_ms);
         *shortest_ms = objective_ms.min(*shortest_ms);
         let work_ms = work_ms(&job);
-        if self.queue.is_empty() && self.has_place(room) {
+        if self.queue.is_empty() && self.has_place(quota) {
             self.queue.charge(&job, work_ms);
             self.start(job.id, work_ms, now_ms);
             return Offer::Start;
         }
         let patience = self.patience(&job, objective_ms, now_ms);
-        let latest_ms = patience.latest_ms(self.must_be_in_time(room, now_ms));
-        let start_ms = now_ms as f64 + self.wait_ms(&job, room);
-        if !room.has_spare && start_ms > latest_ms as f64 {
-            return Offer::Refused(self.refusal(Cause::Full, work_ms, room, rng));
+        let latest_ms = patience.latest_ms(self.must_be_in_time(quota, now_ms));
+        let start_ms = now_ms as f64 + self.wait_ms(&job, quota);
+        if !quota.has_spare && start_ms > latest_ms as f64 {
+            return Offer::Refused(self.refusal(Cause::Full, work_ms, quota, rng));
         }
         if self.queue.len() >= MAX_WAITING {
             match self.queue.push_out(&job, work_ms) {
                 Some(out) => self.pushed_out.push(out.job.id),
-                None => return Offer::Refused(self.refusal(Cause::QueueFull, work_ms, room, rng)),
+                None => return Offer::Refused(self.refusal(Cause::QueueFull, work_ms, quota, rng)),
             }
         }
         self.patience.insert(job.id, patience);
@@ -176,8 +182,8 @@
     }
 
     /// The next request whose wait is over; call until `None`.
-    pub fn poll<R: Rng>(&mut self, room: Room, now_ms: u64, rng: &mut R) -> Option<Ready> {
-        let ready = self.next(room, now_ms, rng);
+    pub fn poll<R: Rng>(&mut self, quota: Quota, now_ms: u64, rng: &mut R) -> Option<Ready> {
+        let ready = self.next(quota, now_ms, rng);
         self.forget_empty_queue();
         if let Some(Ready::Start(id) | Ready::Refused(id, _)) = &ready {
             self.patience.remove(id);
@@ -185,12 +191,12 @@
         ready
     }
 
-    fn next<R: Rng>(&mut self, room: Room, now_ms: u64, rng: &mut R) -> Option<Ready> {
+    fn next<R: Rng>(&mut self, quota: Quota, now_ms: u64, rng: &mut R) -> Option<Ready> {
         if let Some(id) = self.pushed_out.pop() {
-            let refusal = self.refusal(Cause::QueueFull, 0.0, room, rng);
+            let refusal = self.refusal(Cause::QueueFull, 0.0, quota, rng);
             return Some(Ready::Refused(id, refusal));
         }
-        let in_time = self.must_be_in_time(room, now_ms);
+        let in_time = self.must_be_in_time(quota, now_ms);
         let patience = &self.patience;
         let is_lost = |id: &JobId| {
             patience
@@ -198,10 +204,10 @@
                 .is_some_and(|p| now_ms > p.latest_ms(in_time))
         };
         if let Some(lost) = self.queue.take_lost(|w| is_lost(&w.job.id)) {
-            let refusal = self.refusal(Cause::Full, lost.work_ms, room, rng);
+            let refusal = self.refusal(Cause::Full, lost.work_ms, quota, rng);
             return Some(Ready::Refused(lost.job.id, refusal));
         }
-        if !self.has_place(room) {
+        if !self.has_place(quota) {
             return None;
         }
         let next = self.queue.pop()?;
@@ -251,8 +257,8 @@
         }
     }
 
-    fn has_place(&self, room: Room) -> bool {
-        self.running.len() < room.allowed as usize
+    fn has_place(&self, quota: Quota) -> bool {
+        self.running.len() < quota.allowed as usize
     }
 
     fn start(&mut self, id: JobId, work_ms: f64, at_ms: u64) {
@@ -260,28 +266,28 @@
     }
 
     /// Whether the queue stands, and its requests may wait only while they could still be in time.
-    fn must_be_in_time(&self, room: Room, now_ms: u64) -> bool {
+    fn must_be_in_time(&self, quota: Quota, now_ms: u64) -> bool {
         let since_ms = self.waiting_since_ms.unwrap_or(now_ms);
-        !room.has_spare && now_ms.saturating_sub(since_ms) >= STANDING_MS
+        !quota.has_spare && now_ms.saturating_sub(since_ms) >= STANDING_MS
     }
 
     /// How long `job` would wait at the measured pace, with all places at work.
-    fn wait_ms(&self, job: &Job, room: Room) -> f64 {
-        self.drain_ms(self.queue.work_before_ms(job), room)
+    fn wait_ms(&self, job: &Job, quota: Quota) -> f64 {
+        self.drain_ms(self.queue.work_before_ms(job), quota)
     }
 
     /// How long this router's places take for `work_ms`; zero until enough was seen.
-    fn drain_ms(&self, work_ms: f64, room: Room) -> f64 {
+    fn drain_ms(&self, work_ms: f64, quota: Quota) -> f64 {
         if self.paced < PACE_SAMPLES {
             return 0.0;
         }
-        work_ms * self.pace / f64::from(room.allowed.max(1))
+        work_ms * self.pace / f64::from(quota.allowed.max(1))
     }
 
-    fn refusal<R: Rng>(&self, cause: Cause, work_ms: f64, room: Room, rng: &mut R) -> Refusal {
-        let drain_ms = self.drain_ms(self.queue.work_ms() + work_ms, room);
+    fn refusal<R: Rng>(&self, cause: Cause, work_ms: f64, quota: Quota, rng: &mut R) -> Refusal {
+        let drain_ms = self.drain_ms(self.queue.work_ms() + work_ms, quota);
         let base_ms = (drain_ms as u64).max(MIN_RETRY_MS);
-        Refusal::not_run(cause, spread_ms(base_ms, rng))
+        Refusal::not_run(cause, jittered_ms(base_ms, rng))
     }
 
     fn learn_pace(&mut self, started: Started, now_ms: u64) {
--- a/src/decide/admission_tests.rs
+++ b/src/decide/admission_tests.rs
@@ -1,18 +1,18 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::admission::{Admission, Ask, Offer, Ready, Room, STANDING_MS};
+use super::admission::{Admission, AdmissionRequest, Offer, Quota, Ready, STANDING_MS};
 use super::refusal::RunState;
 use super::{ChatKey, Cost, Job, JobId, Priority};
 
-const FULL: Room = Room {
+const FULL: Quota = Quota {
     allowed: 10,
     has_spare: false,
 };
 
 /// 400 ms in a place by the default rates, to be answered within 500 ms, given up after 6 s.
-fn ask(id: u64, account: &str, priority: Priority, now_ms: u64) -> Ask {
-    Ask {
+fn ask(id: u64, account: &str, priority: Priority, now_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         job: Job {
             id: JobId(id),
             account: account.into(),
@@ -69,26 +69,26 @@
         }
     }
 
-    fn run(&mut self, from_ms: u64, to_ms: u64, room: Room) {
+    fn run(&mut self, from_ms: u64, to_ms: u64, quota: Quota) {
         for now_ms in from_ms..to_ms {
-            self.end(now_ms, room);
+            self.end(now_ms, quota);
             for at in 0..self.kinds.len() {
                 let per_s = self.kinds[at].per_s;
                 if now_ms * per_s / 1_000 != (now_ms + 1) * per_s / 1_000 {
-                    self.arrive(at, now_ms, room);
+                    self.arrive(at, now_ms, quota);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, at: usize, now_ms: u64, room: Room) {
+    fn arrive(&mut self, at: usize, now_ms: u64, quota: Quota) {
         // Kind and time of arrival are read back from the id.
         self.next += 1;
         let id = self.next * 1_000_000_000 + at as u64 * 100_000_000 + now_ms;
         let kind = &mut self.kinds[at];
         kind.asked += 1;
         let ask = ask(id, kind.account, kind.priority, now_ms);
-        match self.admission.offer(ask, room, now_ms, &mut self.rng) {
+        match self.admission.offer(ask, quota, now_ms, &mut self.rng) {
             Offer::Start => self.started(JobId(id), now_ms),
             Offer::Wait => {}
             Offer::Refused(refusal) => {
@@ -99,14 +99,14 @@
         }
     }
 
-    fn end(&mut self, now_ms: u64, room: Room) {
+    fn end(&mut self, now_ms: u64, quota: Quota) {
         let (over, running) = self.ends.iter().partition(|(at, _)| *at <= now_ms);
         self.ends = running;
         let over: Vec<(u64, JobId)> = over;
         for (_, id) in over {
             self.admission.finish(id, now_ms);
         }
-        while let Some(ready) = self.admission.poll(room, now_ms, &mut self.rng) {
+        while let Some(ready) = self.admission.poll(quota, now_ms, &mut self.rng) {
             match ready {
                 Ready::Start(id) => self.started(id, now_ms),
                 Ready::Refused(id, _) => self.kinds[kind_of(id)].refused += 1,
@@ -185,7 +185,7 @@
     callers.kinds[0].per_s = 0;
     callers.run(250, 4_000, FULL);
     assert_eq!(callers.kinds[0].refused, 0, "{:?}", callers.kinds);
-    assert_eq!(callers.admission.wanted(), 0);
+    assert_eq!(callers.admission.demand(), 0);
 }
 
 /// A surge ends. The next caller must find places within the time of one request, not behind a queue of
@@ -208,7 +208,7 @@
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
     callers.run(0, 2_000, FULL);
     let refused = callers.kinds[0].refused;
-    let spare = Room {
+    let spare = Quota {
         allowed: 10,
         has_spare: true,
     };
@@ -221,18 +221,18 @@
 fn caller_that_went_is_forgotten() {
     let mut admission = Admission::default();
     let mut rng = SmallRng::seed_from_u64(1);
-    let room = Room {
+    let quota = Quota {
         allowed: 1,
         has_spare: false,
     };
-    let first = admission.offer(ask(1, "a", Priority::Normal, 0), room, 0, &mut rng);
+    let first = admission.offer(ask(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
     assert_eq!(first, Offer::Start);
-    let second = admission.offer(ask(2, "a", Priority::Normal, 0), room, 0, &mut rng);
+    let second = admission.offer(ask(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
     assert_eq!(second, Offer::Wait);
     admission.finish(JobId(2), 1);
     admission.finish(JobId(1), 2);
-    assert_eq!(admission.poll(room, 2, &mut rng), None);
-    assert_eq!(admission.wanted(), 0);
+    assert_eq!(admission.poll(quota, 2, &mut rng), None);
+    assert_eq!(admission.demand(), 0);
 }
 
 /// All who wait give up at once. Those who come later meet a new queue, a burst, not one that has stood for
@@ -241,23 +241,23 @@
 fn queue_that_emptied_by_itself_is_a_new_one() {
     let mut admission = Admission::default();
     let mut rng = SmallRng::seed_from_u64(1);
-    let room = Room {
+    let quota = Quota {
         allowed: 1,
         has_spare: false,
     };
-    admission.offer(ask(1, "a", Priority::Normal, 0), room, 0, &mut rng);
-    admission.offer(ask(2, "a", Priority::Normal, 0), room, 0, &mut rng);
+    admission.offer(ask(1, "a", Priority::Normal, 0), quota, 0, &mut rng);
+    admission.offer(ask(2, "a", Priority::Normal, 0), quota, 0, &mut rng);
     admission.finish(JobId(2), 1);
-    admission.offer(ask(3, "a", Priority::Normal, 5_000), room, 5_000, &mut rng);
+    admission.offer(ask(3, "a", Priority::Normal, 5_000), quota, 5_000, &mut rng);
     assert_eq!(
-        admission.poll(room, 5_900, &mut rng),
+        admission.poll(quota, 5_900, &mut rng),
         None,
         "it still waits"
     );
 }
 
 /// A ticket: over in 60 ms, to be answered within 300 ms, given up after 1.5 s.
-fn ticket(id: u64, now_ms: u64) -> Ask {
+fn ticket(id: u64, now_ms: u64) -> AdmissionRequest {
     let mut ask = ask(id, "a", Priority::Normal, now_ms);
     ask.job.deadline_ms = now_ms + 1_500;
     ask.objective_ms = 300;
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -12,7 +12,7 @@
 //! less than one a router, which wait in the upstreams' own queues. A part costs a sort of the routers
 //! when the fleet wants too much, and an addition otherwise.
 
-use crate::decide::admission::Room;
+use crate::decide::admission::Quota;
 
 /// Part of the places that the routers fill. With all full, the next free place decides where a request
 /// goes instead of the parts of its prompt that are cached, and every upstream reads every part.
@@ -50,15 +50,15 @@
 /// The room of a router that wants `own` of `places`, where each of the other routers wants `others`.
 ///
 /// ```
-/// use cassiagrade::decide::allowance::room;
+/// use cassiagrade::decide::allowance::quota;
 /// // The others leave 80 places; this router may grow into its part of them at once.
-/// let calm = room(100.0, 10, &[5, 5]);
+/// let calm = quota(100.0, 10, &[5, 5]);
 /// assert!(calm.has_spare && calm.allowed >= 30);
 /// // All want more than there is: a fair part, and what the smallest doesn't need.
-/// let full = room(100.0, 500, &[500, 10]);
+/// let full = quota(100.0, 500, &[500, 10]);
 /// assert_eq!((full.allowed, full.has_spare), (45, false));
 /// ```
-pub fn room(places: f64, own: u32, others: &[u32]) -> Room {
+pub fn quota(places: f64, own: u32, others: &[u32]) -> Quota {
     let wanted = f64::from(own) + others.iter().map(|w| f64::from(*w)).sum::<f64>();
     let spare = places - wanted;
     let allowed = if spare > 0.0 {
@@ -66,7 +66,7 @@
     } else {
         fair_part(places, own, others)
     };
-    Room {
+    Quota {
         allowed: (allowed.ceil() as u32).max(1),
         has_spare: spare > 0.0,
     }
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -36,7 +36,7 @@
 
 impl ColdStarts {
     /// An upstream of `service` says that it stays cold for `remaining_ms`; zero ends it.
-    pub fn told(&mut self, upstream: &Name, service: &Name, remaining_ms: u64, now_ms: u64) {
+    pub fn reported(&mut self, upstream: &Name, service: &Name, remaining_ms: u64, now_ms: u64) {
         if remaining_ms == 0 {
             self.cold.remove(upstream);
             return;
@@ -83,7 +83,7 @@
     /// ```
     /// use cassiagrade::decide::cold_start::ColdStarts;
     /// let mut cold = ColdStarts::default();
-    /// cold.told(&"up-1".into(), &"s".into(), 3_000, 0);
+    /// cold.reported(&"up-1".into(), &"s".into(), 3_000, 0);
     /// assert!(!cold.admits("up-1", 1), "not settled yet");
     /// cold.assign("host-1", &["host-1".into()], |_| Some(8.0), 1);
     /// assert!(cold.admits("up-1", 1) && cold.admits("up-2", 1));
--- a/src/decide/cold_start_tests.rs
+++ b/src/decide/cold_start_tests.rs
@@ -49,7 +49,7 @@
     for (at, host) in hosts.iter().enumerate() {
         let mut cold = ColdStarts::default();
         for upstream in &upstreams {
-            cold.told(upstream, &service, COLD_MS, 0);
+            cold.reported(upstream, &service, COLD_MS, 0);
         }
         let known = view(at, &hosts, views, &mut rng);
         cold.assign(host, &known, |_| Some(PER_S), 0);
@@ -113,7 +113,7 @@
 #[test]
 fn router_that_wakes_sends_one() {
     let mut cold = ColdStarts::default();
-    cold.told(&"up".into(), &"s".into(), COLD_MS, 0);
+    cold.reported(&"up".into(), &"s".into(), COLD_MS, 0);
     cold.assign("a", &["a".into()], |_| Some(PER_S), 0);
     cold.sent("up", 10);
     let waiting = (0..10).filter(|_| {
@@ -128,12 +128,12 @@
 #[test]
 fn warm_upstreams_take_work() {
     let mut cold = ColdStarts::default();
-    cold.told(&"up".into(), &"s".into(), COLD_MS, 0);
+    cold.reported(&"up".into(), &"s".into(), COLD_MS, 0);
     cold.assign("a", &["a".into(), "b".into()], |_| None, 1);
     assert!(cold.admits("up", 1));
-    cold.told(&"up".into(), &"s".into(), COLD_MS, 2);
+    cold.reported(&"up".into(), &"s".into(), COLD_MS, 2);
     assert!(!cold.admits("up", 2), "whose turn it is isn't settled");
-    cold.told(&"up".into(), &"s".into(), 0, 3);
+    cold.reported(&"up".into(), &"s".into(), 0, 3);
     assert!(cold.admits("up", 3) && !cold.is_cold("up", 3));
 }
 
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -23,7 +23,7 @@
 
 /// One router's share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Share {
+pub struct ConnectionQuota {
     /// In use and idle together.
     pub open: u32,
     /// Idle.
@@ -34,13 +34,13 @@
 /// it doesn't say.
 ///
 /// ```
-/// use cassiagrade::decide::connections::share;
-/// let share = share(Some(110), 9);
-/// assert_eq!((share.open, share.idle), (9, 2));
+/// use cassiagrade::decide::connections::quota;
+/// let quota = quota(Some(110), 9);
+/// assert_eq!((quota.open, quota.idle), (9, 2));
 /// ```
-pub fn share(max_connections: Option<u32>, routers: usize) -> Share {
+pub fn quota(max_connections: Option<u32>, routers: usize) -> ConnectionQuota {
     let Some(max) = max_connections else {
-        return Share {
+        return ConnectionQuota {
             open: u32::MAX,
             idle: MAX_IDLE,
         };
@@ -48,7 +48,7 @@
     let open = (f64::from(max) * FLEET_SHARE / routers.max(1) as f64) as u32;
     let open = open.max(MIN_OPEN);
     let idle = (f64::from(open) * IDLE_SHARE) as u32;
-    Share {
+    ConnectionQuota {
         open,
         idle: idle.clamp(1, MAX_IDLE),
     }
--- a/src/decide/connections_tests.rs
+++ b/src/decide/connections_tests.rs
@@ -2,7 +2,7 @@
 
 use test_case::test_case;
 
-use crate::decide::connections::{Share, share};
+use crate::decide::connections::{ConnectionQuota, quota};
 
 /// What an upstream of clerks' requests takes, and how many routers send there.
 const MAX_CONNECTIONS: u32 = 110;
@@ -12,8 +12,8 @@
 const RUNS_MS: u64 = 20;
 
 /// Connections reset by an upstream to which `per_s` requests a second come for four seconds, each over
-/// a fresh connection, where a router keeps what its `share` lets it.
-fn resets(per_s: u64, share: Share) -> u32 {
+/// a fresh connection, where a router keeps what its `quota` lets it.
+fn resets(per_s: u64, quota: ConnectionQuota) -> u32 {
     let mut kept: Vec<VecDeque<u64>> = vec![VecDeque::new(); ROUTERS];
     let mut running: VecDeque<(u64, usize)> = VecDeque::new();
     let mut resets = 0;
@@ -21,7 +21,7 @@
         let now_ms = n * 1_000 / per_s;
         while running.front().is_some_and(|(end_ms, _)| *end_ms <= now_ms) {
             let (end_ms, router) = running.pop_front().unwrap();
-            if kept[router].len() < share.idle as usize {
+            if kept[router].len() < quota.idle as usize {
                 kept[router].push_back(end_ms + IDLE_MS);
             }
         }
@@ -43,12 +43,12 @@
 /// with its share each router leaves it room.
 #[test]
 fn burst_of_tickets_meets_no_resets() {
-    let sixteen = Share {
+    let sixteen = ConnectionQuota {
         open: u32::MAX,
         idle: 16,
     };
     assert!(resets(53, sixteen) > 10);
-    assert_eq!(resets(53, share(Some(MAX_CONNECTIONS), ROUTERS)), 0);
+    assert_eq!(resets(53, quota(Some(MAX_CONNECTIONS), ROUTERS)), 0);
 }
 
 /// However many routers and whatever the upstream takes, together they stay below it, but for the two
@@ -58,7 +58,7 @@
 #[test_case(590, 88)]
 #[test_case(640, 300)]
 fn fleet_stays_below(max: u32, routers: usize) {
-    let own = share(Some(max), routers);
+    let own = quota(Some(max), routers);
     let fleet = own.open * u32::try_from(routers).unwrap();
     assert!(fleet <= max || own.open == 2, "{own:?}");
     assert!(own.idle >= 1 && own.idle <= own.open);
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -30,9 +30,9 @@
 /// Weight of the newest time in an upstream's running mean.
 const GAIN: f64 = 0.2;
 /// The first hold. Longer than a process restart, shorter than the platform list's lag.
-pub const HOLD_MS: u64 = 3_000;
+pub const EJECTION_MS: u64 = 3_000;
 /// The longest hold.
-pub const MAX_HOLD_MS: u64 = 60_000;
+pub const MAX_EJECTION_MS: u64 = 60_000;
 /// A probe that isn't answered within this gives way to another.
 const PROBE_MS: u64 = 5_000;
 /// Share of a pool that may be out at once, unless the policy says otherwise; one always may.
@@ -230,7 +230,7 @@
 }
 
 fn hold_ms(ejections: u32) -> u64 {
-    HOLD_MS
+    EJECTION_MS
         .saturating_mul(1 << ejections.min(16))
-        .min(MAX_HOLD_MS)
+        .min(MAX_EJECTION_MS)
 }
--- a/src/decide/ejection_tests.rs
+++ b/src/decide/ejection_tests.rs
@@ -1,5 +1,5 @@
 use crate::decide::Name;
-use crate::decide::ejection::{Change, Ejector, HOLD_MS};
+use crate::decide::ejection::{Change, EJECTION_MS, Ejector};
 
 const SHARE: f64 = 0.34;
 
@@ -70,7 +70,15 @@
         let back = ejector.answered(flapping, 100, &pool, SHARE, now_ms);
         assert_eq!(back, Change::Restored);
     }
-    assert_eq!(holds, [HOLD_MS, 2 * HOLD_MS, 4 * HOLD_MS, 8 * HOLD_MS]);
+    assert_eq!(
+        holds,
+        [
+            EJECTION_MS,
+            2 * EJECTION_MS,
+            4 * EJECTION_MS,
+            8 * EJECTION_MS
+        ]
+    );
 }
 
 /// A healthy pool answers within a millisecond, and one engine takes 50 ms because chats bring
--- a/src/decide/grey.rs
+++ b/src/decide/grey.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether enough is left to matter.
-    pub fn is_told(self) -> bool {
+    pub fn is_significant(self) -> bool {
         self.ended >= FORGOTTEN
     }
 
--- a/src/decide/grey_tests.rs
+++ b/src/decide/grey_tests.rs
@@ -4,7 +4,7 @@
 use crate::decide::Name;
 use crate::decide::ejection::{DEFAULT_SHARE, Ejector};
 use crate::decide::grey::{Outcomes, grey};
-use crate::decide::spread::{Counts, Seat, by_load};
+use crate::decide::spread::{Candidate, Counts, by_load};
 
 const UPSTREAMS: usize = 12;
 const ROUTERS: usize = 9;
@@ -25,12 +25,12 @@
     for n in 0..requests {
         let now_ms = 1 + n * 1_000 / PER_S;
         let ejector = &mut ejectors[rng.random_range(0..ROUTERS)];
-        let seat = |name: &Name| Seat {
-            barred: ejector.is_out(name, now_ms),
-            ..Seat::default()
+        let candidate = |name: &Name| Candidate {
+            excluded: ejector.is_out(name, now_ms),
+            ..Candidate::default()
         };
-        let seats: Vec<Seat> = pool.iter().map(seat).collect();
-        let at = by_load(&seats, Counts::Hold, &mut rng).unwrap();
+        let candidates: Vec<Candidate> = pool.iter().map(candidate).collect();
+        let at = by_load(&candidates, Counts::Current, &mut rng).unwrap();
         ejector.admits(&pool[at], now_ms);
         let fails = at < greys && rng.random_bool(share);
         if fails {
@@ -94,6 +94,6 @@
     let mut counts = [Outcomes::default(); 4];
     counts[0].add(12, 5, 0);
     assert_eq!(grey(&counts), [0]);
-    let later = counts.map(|c| c.at(crate::decide::ejection::HOLD_MS));
+    let later = counts.map(|c| c.at(crate::decide::ejection::EJECTION_MS));
     assert!(grey(&later).is_empty());
 }
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -23,10 +23,10 @@
 use rand::Rng;
 
 use crate::decide::fair::{FairQueue, Waiting};
-use crate::decide::refusal::{Cause, Refusal, spread_ms};
+use crate::decide::lru::LruCache;
+use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::decide::shed::Shedder;
 use crate::decide::take_over::Inherited;
-use crate::decide::warm::Warm;
 use crate::decide::{ChatKey, Job, JobId, PoolView, Priority, Rates};
 
 /// Weight of the newest job in the running estimate of the pace.
@@ -118,7 +118,7 @@
     running_ms: f64,
     queue: FairQueue,
     pushed_out: Vec<JobId>,
-    warm: Warm<u32>,
+    warm: LruCache<u32>,
     shedder: Shedder,
     pace: f64,
     paced: u32,
@@ -138,7 +138,7 @@
             running_ms: 0.0,
             queue: FairQueue::default(),
             pushed_out: Vec::new(),
-            warm: Warm::new(policy.cache_tokens),
+            warm: LruCache::new(policy.cache_tokens),
             shedder: Shedder::new(policy.shed_order.clone()),
             pace: 1.0,
             paced: 0,
@@ -374,7 +374,7 @@
 
     fn retry_ms<R: Rng>(&self, work_ms: f64, rng: &mut R) -> u64 {
         let drain_ms = self.drain_ms(self.queue.work_ms() + work_ms);
-        spread_ms((drain_ms as u64).max(MIN_RETRY_MS), rng)
+        jittered_ms((drain_ms as u64).max(MIN_RETRY_MS), rng)
     }
 
     fn start(&mut self, job: &Job, work_ms: f64, now_ms: u64) {
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -45,7 +45,7 @@
 
 /// Why a request is over the limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Over {
+pub enum Exceeded {
     /// The rate: a token comes after this time.
     Rate {
         /// Until the next token.
@@ -81,13 +81,13 @@
     /// When the router's share is used up.
     ///
     /// ```
-    /// use cassiagrade::decide::limits::{Limit, Limits, Over};
+    /// use cassiagrade::decide::limits::{Limit, Limits, Exceeded};
     /// let mut limits = Limits::default();
     /// let limit = Limit { rate_per_s: 2.0, concurrency: 0.0 };
     /// let name = "acme".into();
     /// assert!(limits.arrive(&name, limit, 1, 0).is_ok());
     /// assert!(limits.arrive(&name, limit, 1, 0).is_ok());
-    /// assert_eq!(limits.arrive(&name, limit, 1, 0), Err(Over::Rate { wait_ms: 500 }));
+    /// assert_eq!(limits.arrive(&name, limit, 1, 0), Err(Exceeded::Rate { wait_ms: 500 }));
     /// assert!(limits.arrive(&name, limit, 1, 500).is_ok());
     /// ```
     pub fn arrive(
@@ -96,7 +96,7 @@
         limit: Limit,
         routers: usize,
         now_ms: u64,
-    ) -> Result<(), Over> {
+    ) -> Result<(), Exceeded> {
         let account = self.account(account, now_ms);
         account.came += 1;
         if limit.rate_per_s <= 0.0 {
@@ -109,7 +109,7 @@
         account.filled_ms = now_ms;
         if account.tokens < 1.0 {
             let wait_ms = (1.0 - account.tokens) / rate_per_ms.max(f64::MIN_POSITIVE);
-            return Err(Over::Rate {
+            return Err(Exceeded::Rate {
                 wait_ms: whole_ms(wait_ms),
             });
         }
@@ -128,13 +128,13 @@
         limit: Limit,
         routers: usize,
         now_ms: u64,
-    ) -> Result<(), Over> {
+    ) -> Result<(), Exceeded> {
         let account = self.account(account, now_ms);
         account.wanted = account.wanted.max(account.running + 1);
         let share = account.share(limit, routers, now_ms).concurrency;
         // Rounded up: a share under one would shut out an account at every router.
         if limit.concurrency > 0.0 && f64::from(account.running) >= share.ceil().max(1.0) {
-            return Err(Over::Concurrency);
+            return Err(Exceeded::Concurrency);
         }
         account.running += 1;
         Ok(())
@@ -219,7 +219,7 @@
 
 /// What the routers want of the accounts whose accountant this router is.
 #[derive(Clone, Debug, Default)]
-pub struct Accountant {
+pub struct ShareAllocator {
     reports: HashMap<Name, HashMap<Name, Report>>,
 }
 
@@ -230,12 +230,12 @@
     at_ms: u64,
 }
 
-impl Accountant {
+impl ShareAllocator {
     /// Takes what `router`, one of `routers`, wants of `account`, and returns its share.
     ///
     /// ```
-    /// use cassiagrade::decide::limits::{Accountant, Demand, Limit};
-    /// let mut accountant = Accountant::default();
+    /// use cassiagrade::decide::limits::{ShareAllocator, Demand, Limit};
+    /// let mut accountant = ShareAllocator::default();
     /// let limit = Limit { rate_per_s: 90.0, concurrency: 0.0 };
     /// let wants = |rate_per_s| Demand { rate_per_s, concurrency: 0.0 };
     /// let (account, a, b) = ("acme".into(), "a".into(), "b".into());
--- a/src/decide/limits_tests.rs
+++ b/src/decide/limits_tests.rs
@@ -1,6 +1,8 @@
 use proptest::prelude::*;
 
-use crate::decide::limits::{Accountant, Demand, Limit, Limits, Over, SHARE_MS, fair_share};
+use crate::decide::limits::{
+    Demand, Exceeded, Limit, Limits, SHARE_MS, ShareAllocator, fair_share,
+};
 use crate::util::Name;
 
 fn rate(rate_per_s: f64) -> Limit {
@@ -14,7 +16,7 @@
 /// what they may have; once the accountant has answered, that router has nearly all of it.
 #[test]
 fn share_moves_to_where_the_demand_is() {
-    let (mut accountant, mut limits) = (Accountant::default(), Limits::default());
+    let (mut accountant, mut limits) = (ShareAllocator::default(), Limits::default());
     let (account, busy) = (Name::from("acme"), Name::from("router-0"));
     let limit = rate(90.0);
     let arrived = |limits: &mut Limits, from_ms: u64| {
@@ -71,7 +73,10 @@
     };
     assert_eq!(limits.begin(&account, limit, 1, 0), Ok(()));
     assert_eq!(limits.begin(&account, limit, 1, 0), Ok(()));
-    assert_eq!(limits.begin(&account, limit, 1, 0), Err(Over::Concurrency));
+    assert_eq!(
+        limits.begin(&account, limit, 1, 0),
+        Err(Exceeded::Concurrency)
+    );
     limits.end("acme");
     assert_eq!(limits.begin(&account, limit, 1, 0), Ok(()));
 }
@@ -109,7 +114,7 @@
     ) {
         let limit = rate(100.0);
         let account = Name::from("acme");
-        let mut accountant = Accountant::default();
+        let mut accountant = ShareAllocator::default();
         let mut granted = [0.0_f64; 4];
         let mut now_ms = 0;
         for (phase, wants) in phases.iter().enumerate() {
--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -13,7 +13,7 @@
 
 /// The load of one upstream at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct UpstreamLoad {
     /// Work in flight and waiting, in engine milliseconds.
     pub work_ms: f64,
     /// Jobs at the upstream.
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Belief {
-    seen: Seen,
+    seen: UpstreamLoad,
     seq: u64,
 }
 
@@ -45,7 +45,7 @@
 
 impl LoadView {
     /// Takes a gossiped report; one that isn't newer than the last changes nothing.
-    pub fn reported(&mut self, upstream: &Name, seen: Seen, seq: u64) {
+    pub fn reported(&mut self, upstream: &Name, seen: UpstreamLoad, seq: u64) {
         let known = self.beliefs.entry(upstream.clone()).or_default();
         if seq > known.seq {
             *known = Belief { seen, seq };
@@ -55,16 +55,16 @@
     /// Takes the exact load that a home's answer carried at `seq`, on this router's clock.
     ///
     /// ```
-    /// use cassiagrade::decide::{Name, loads::{LoadView, Seen}};
+    /// use cassiagrade::decide::{Name, loads::{LoadView, UpstreamLoad}};
     /// let mut view = LoadView::default();
     /// let engine = Name::from("engine-1");
-    /// view.heard(&engine, Seen { work_ms: 300.0, in_flight: 2, queued: 0 }, 8);
+    /// view.heard(&engine, UpstreamLoad { work_ms: 300.0, in_flight: 2, queued: 0 }, 8);
     /// view.sent(&engine, 50.0);
     /// // A report that is older than the answer is ignored.
-    /// view.reported(&engine, Seen { work_ms: 900.0, in_flight: 5, queued: 0 }, 7);
+    /// view.reported(&engine, UpstreamLoad { work_ms: 900.0, in_flight: 5, queued: 0 }, 7);
     /// assert_eq!(view.get(&engine).unwrap().work_ms, 350.0);
     /// ```
-    pub fn heard(&mut self, upstream: &Name, seen: Seen, seq: u64) {
+    pub fn heard(&mut self, upstream: &Name, seen: UpstreamLoad, seq: u64) {
         let belief = Belief { seen, seq };
         self.beliefs.insert(upstream.clone(), belief);
     }
@@ -77,7 +77,7 @@
     }
 
     /// The believed load of `upstream`, if any router told of it.
-    pub fn get(&self, upstream: &str) -> Option<Seen> {
+    pub fn get(&self, upstream: &str) -> Option<UpstreamLoad> {
         self.beliefs.get(upstream).map(|b| b.seen)
     }
 
@@ -88,7 +88,7 @@
 
     /// The pool as seen from the home of `own`, whose exact load is `exact`; without `own`, as
     /// seen from anywhere. The mean is over those whose load is known: unknown isn't idle.
-    pub fn pool_view(&self, pool: &[Slots], own: Option<(&str, Seen)>) -> PoolView {
+    pub fn pool_view(&self, pool: &[Slots], own: Option<(&str, UpstreamLoad)>) -> PoolView {
         let mut known = 0_u32;
         let mut sum_ms = 0.0;
         let mut free_slots = 0;
@@ -114,7 +114,7 @@
 
 impl Slots {
     /// Jobs it could start at once, at the load `seen`.
-    pub fn free(&self, seen: Seen) -> u32 {
+    pub fn free(&self, seen: UpstreamLoad) -> u32 {
         self.slots.saturating_sub(seen.in_flight + seen.queued)
     }
 }
--- a/src/decide/warm.rs
+++ b/src/decide/lru.rs
@@ -21,7 +21,7 @@
 
 /// What is known of the chats used last, up to a total size.
 #[derive(Clone, Debug)]
-pub struct Warm<V> {
+pub struct LruCache<V> {
     entries: HashMap<ChatKey, Entry<V>>,
     by_age: VecDeque<(ChatKey, u64)>,
     stamp: u64,
@@ -29,12 +29,12 @@
     limit: u64,
 }
 
-impl<V> Warm<V> {
+impl<V> LruCache<V> {
     /// An empty memory that keeps entries up to a total size of `limit`.
     ///
     /// ```
-    /// use cassiagrade::decide::{ChatKey, warm::Warm};
-    /// let mut warm = Warm::new(2);
+    /// use cassiagrade::decide::{ChatKey, lru::LruCache};
+    /// let mut warm = LruCache::new(2);
     /// warm.put(ChatKey(1), "a", 1);
     /// warm.put(ChatKey(2), "b", 1);
     /// warm.put(ChatKey(3), "c", 1);
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -15,6 +15,7 @@
 pub mod home;
 pub mod limits;
 pub mod loads;
+pub mod lru;
 pub mod placement;
 pub mod quarantine;
 pub mod refusal;
@@ -23,7 +24,6 @@
 pub mod spread;
 pub mod take_over;
 mod types;
-pub mod warm;
 
 pub use crate::util::Name;
 pub use types::{ChatKey, Cost, Job, JobId, PoolView, Priority, Rates};
--- a/src/decide/placement_tests.rs
+++ b/src/decide/placement_tests.rs
@@ -1,7 +1,7 @@
 use proptest::prelude::*;
 
+use crate::decide::lru::LruCache;
 use crate::decide::placement::{self, JOIN_RAMP_MS, PlacementPolicy, PoolIndex};
-use crate::decide::warm::Warm;
 use crate::decide::{ChatKey, Name};
 
 fn pool(count: usize) -> Vec<Name> {
@@ -45,7 +45,7 @@
     let plan = pool.plan(chat, Some(3), &load_ms, policy);
     assert_eq!(plan.tries[0], 3);
     let went = plan.tries[1];
-    let mut memory = Warm::new(10);
+    let mut memory = LruCache::new(10);
     memory.put(chat, went, 1);
     let back = pool.plan(chat, memory.get(chat).copied(), &load_ms, policy);
     assert_eq!(back.tries[0], went);
@@ -93,7 +93,7 @@
     /// The memory of chats never exceeds its size, and knows the one that was put last.
     #[test]
     fn memory_is_bounded(puts in proptest::collection::vec((0_u64..50, 1_u64..20), 1..300)) {
-        let mut warm = Warm::new(100);
+        let mut warm = LruCache::new(100);
         for (chat, size) in puts {
             warm.put(ChatKey(chat), chat, size);
             prop_assert_eq!(warm.get(ChatKey(chat)), Some(&chat));
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -16,7 +16,7 @@
 
 use rand::Rng;
 
-use crate::decide::refusal::{Cause, Refusal, spread_ms};
+use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::util;
 
 /// How long a conviction holds; a caller that repeats the request after a fix comes through.
@@ -41,7 +41,7 @@
 
 /// What is held of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing.
     Free,
     /// It may run alone among suspects.
@@ -68,34 +68,34 @@
 
 impl Quarantine {
     /// What is held of the request with this fingerprint.
-    pub fn standing(&self, fingerprint: u64, now_ms: u64) -> Standing {
+    pub fn status(&self, fingerprint: u64, now_ms: u64) -> QuarantineStatus {
         let Some(entry) = self.entries.get(&fingerprint) else {
-            return Standing::Free;
+            return QuarantineStatus::Free;
         };
         let age_ms = now_ms.saturating_sub(entry.at_ms);
         if entry.convicted && age_ms < CONVICTION_MS {
             let left_ms = CONVICTION_MS - age_ms;
-            return Standing::Convicted { left_ms };
+            return QuarantineStatus::Convicted { left_ms };
         }
         if age_ms < SUSPICION_MS {
-            return Standing::Suspect;
+            return QuarantineStatus::Suspect;
         }
-        Standing::Free
+        QuarantineStatus::Free
     }
 
     /// Its upstream died while it ran; `sole` if it was the only suspect there. Returns the
     /// deaths now held against it.
     ///
     /// ```
-    /// use cassiagrade::decide::quarantine::{Quarantine, Standing};
+    /// use cassiagrade::decide::quarantine::{Quarantine, QuarantineStatus};
     /// let mut quarantine = Quarantine::default();
     /// quarantine.died(7, false, 0);
-    /// assert_eq!(quarantine.standing(7, 1), Standing::Suspect);
+    /// assert_eq!(quarantine.status(7, 1), QuarantineStatus::Suspect);
     /// quarantine.died(7, true, 10);
-    /// assert!(matches!(quarantine.standing(7, 11), Standing::Convicted { .. }));
+    /// assert!(matches!(quarantine.status(7, 11), QuarantineStatus::Convicted { .. }));
     /// ```
     pub fn died(&mut self, fingerprint: u64, sole: bool, now_ms: u64) -> u32 {
-        let held = self.standing(fingerprint, now_ms) != Standing::Free;
+        let held = self.status(fingerprint, now_ms) != QuarantineStatus::Free;
         let before = self.entries.get(&fingerprint).filter(|_| held);
         let deaths = before.map_or(0, |e| e.deaths) + 1;
         let convicted = sole && deaths >= DEATHS || deaths >= MANY_DEATHS;
@@ -115,7 +115,7 @@
     }
 
     /// Takes what another router holds; `age_ms` is how long it has held it.
-    pub fn heard(
+    pub fn merge(
         &mut self,
         fingerprint: u64,
         deaths: u32,
@@ -142,7 +142,7 @@
 
     /// The refusal of a convicted request: it was not run this time.
     pub fn refusal<R: Rng>(left_ms: u64, rng: &mut R) -> Refusal {
-        Refusal::not_run(Cause::Quarantined, spread_ms(left_ms, rng))
+        Refusal::not_run(Cause::Quarantined, jittered_ms(left_ms, rng))
     }
 
     fn hold(&mut self, fingerprint: u64, deaths: u32, at_ms: u64) {
--- a/src/decide/quarantine_tests.rs
+++ b/src/decide/quarantine_tests.rs
@@ -1,4 +1,4 @@
-use crate::decide::quarantine::{CONVICTION_MS, Quarantine, Standing};
+use crate::decide::quarantine::{CONVICTION_MS, Quarantine, QuarantineStatus};
 
 const GUILTY: u64 = 1;
 
@@ -10,22 +10,22 @@
     let mut quarantine = Quarantine::default();
     for fingerprint in 1..=6 {
         quarantine.died(fingerprint, false, 0);
-        assert_eq!(quarantine.standing(fingerprint, 1), Standing::Suspect);
+        assert_eq!(quarantine.status(fingerprint, 1), QuarantineStatus::Suspect);
     }
     for innocent in 2..=6 {
         assert!(quarantine.succeeded(innocent));
-        assert_eq!(quarantine.standing(innocent, 2), Standing::Free);
+        assert_eq!(quarantine.status(innocent, 2), QuarantineStatus::Free);
     }
     quarantine.died(GUILTY, true, 3);
     let left_ms = CONVICTION_MS - 1;
     assert_eq!(
-        quarantine.standing(GUILTY, 4),
-        Standing::Convicted { left_ms }
+        quarantine.status(GUILTY, 4),
+        QuarantineStatus::Convicted { left_ms }
     );
     let after_ms = CONVICTION_MS + 4;
     assert_ne!(
-        quarantine.standing(GUILTY, after_ms),
-        Standing::Convicted { left_ms }
+        quarantine.status(GUILTY, after_ms),
+        QuarantineStatus::Convicted { left_ms }
     );
 }
 
@@ -37,7 +37,10 @@
     for fingerprint in [GUILTY, 2] {
         quarantine.died(fingerprint, false, 0);
         quarantine.died(fingerprint, false, 10);
-        assert_eq!(quarantine.standing(fingerprint, 11), Standing::Suspect);
+        assert_eq!(
+            quarantine.status(fingerprint, 11),
+            QuarantineStatus::Suspect
+        );
     }
 }
 
@@ -47,12 +50,12 @@
     let (mut first, mut second) = (Quarantine::default(), Quarantine::default());
     first.died(GUILTY, false, 0);
     let deaths = first.died(GUILTY, true, 10);
-    second.heard(GUILTY, deaths, false, 5, 1_000);
-    let standing = second.standing(GUILTY, 1_000);
+    second.merge(GUILTY, deaths, false, 5, 1_000);
+    let status = second.status(GUILTY, 1_000);
     assert!(
-        matches!(standing, Standing::Convicted { .. }),
-        "{standing:?}"
+        matches!(status, QuarantineStatus::Convicted { .. }),
+        "{status:?}"
     );
-    second.heard(GUILTY, 0, true, 0, 2_000);
-    assert_eq!(second.standing(GUILTY, 2_000), Standing::Free);
+    second.merge(GUILTY, 0, true, 0, 2_000);
+    assert_eq!(second.status(GUILTY, 2_000), QuarantineStatus::Free);
 }
--- a/src/decide/refusal.rs
+++ b/src/decide/refusal.rs
@@ -118,9 +118,9 @@
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let ms = cassiagrade::decide::refusal::spread_ms(1_000, &mut rng);
+/// let ms = cassiagrade::decide::refusal::jittered_ms(1_000, &mut rng);
 /// assert!((1_000..=1_500).contains(&ms));
 /// ```
-pub fn spread_ms<R: Rng>(base_ms: u64, rng: &mut R) -> u64 {
+pub fn jittered_ms<R: Rng>(base_ms: u64, rng: &mut R) -> u64 {
     base_ms + rng.random_range(0..=base_ms / 2)
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -23,7 +23,7 @@
 
 /// What is known of a failed try.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// A byte of the request may have left, and it must not run twice.
     pub may_have_run: bool,
     /// Retries made so far.
@@ -34,23 +34,23 @@
 
 /// The retries a router may still make.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     burst: f64,
     tokens: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A full budget for `share` of the first tries.
     ///
     /// ```
-    /// use cassiagrade::decide::retry::{Budget, Failed};
+    /// use cassiagrade::decide::retry::{RetryBudget, FailedAttempt};
     /// use rand::{SeedableRng, rngs::SmallRng};
     /// let mut rng = SmallRng::seed_from_u64(1);
-    /// let mut budget = Budget::new(0.2);
-    /// let failed = Failed { remaining_ms: 5_000, ..Failed::default() };
+    /// let mut budget = RetryBudget::new(0.2);
+    /// let failed = FailedAttempt { remaining_ms: 5_000, ..FailedAttempt::default() };
     /// assert!(budget.pause_ms(failed, &mut rng).is_some());
-    /// let ran = Failed { may_have_run: true, ..failed };
+    /// let ran = FailedAttempt { may_have_run: true, ..failed };
     /// assert_eq!(budget.pause_ms(ran, &mut rng), None);
     /// ```
     pub fn new(share: f64) -> Self {
@@ -92,7 +92,7 @@
     }
 
     /// How long to wait before the next try, or `None` if there must be none.
-    pub fn pause_ms<R: Rng>(&mut self, failed: Failed, rng: &mut R) -> Option<u64> {
+    pub fn pause_ms<R: Rng>(&mut self, failed: FailedAttempt, rng: &mut R) -> Option<u64> {
         if failed.may_have_run || self.tokens < 1.0 {
             return None;
         }
--- a/src/decide/retry_tests.rs
+++ b/src/decide/retry_tests.rs
@@ -1,14 +1,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::decide::retry::{Budget, Failed};
+use crate::decide::retry::{FailedAttempt, RetryBudget};
 
 /// A pool fails three tries in four for a while, and each request is tried up to five times. With
 /// no budget the pool gets several times its load (a retry storm); with one, little more than
 /// its load, and what can't be retried is refused.
 #[test]
 fn retry_storm_is_bounded_by_the_budget() {
-    let tries = |mut budget: Option<Budget>| {
+    let tries = |mut budget: Option<RetryBudget>| {
         let rng = &mut SmallRng::seed_from_u64(1);
         let mut tries = 0;
         for _ in 0..10_000 {
@@ -17,10 +17,10 @@
             }
             tries += 1;
             for retries in 0..4 {
-                let failed = Failed {
+                let failed = FailedAttempt {
                     retries,
                     remaining_ms: 10_000,
-                    ..Failed::default()
+                    ..FailedAttempt::default()
                 };
                 let may = budget
                     .as_mut()
@@ -33,7 +33,7 @@
         }
         f64::from(tries) / 10_000.0
     };
-    let (off, on) = (tries(None), tries(Some(Budget::new(0.2))));
+    let (off, on) = (tries(None), tries(Some(RetryBudget::new(0.2))));
     assert!(off > 2.5, "off: {off} times the load");
     assert!(on <= 1.21, "on: {on} times the load");
 }
@@ -42,13 +42,13 @@
 #[test]
 fn pauses_are_spread() {
     let rng = &mut SmallRng::seed_from_u64(1);
-    let failed = Failed {
+    let failed = FailedAttempt {
         retries: 4,
         remaining_ms: 10_000,
-        ..Failed::default()
+        ..FailedAttempt::default()
     };
     let pauses: Vec<u64> = (0..100)
-        .filter_map(|_| Budget::new(0.2).pause_ms(failed, rng))
+        .filter_map(|_| RetryBudget::new(0.2).pause_ms(failed, rng))
         .collect();
     assert_eq!(pauses.len(), 100);
     let early = pauses.iter().filter(|ms| **ms < 160).count();
@@ -59,6 +59,6 @@
 #[test]
 fn no_retry_past_the_deadline() {
     let rng = &mut SmallRng::seed_from_u64(1);
-    let failed = Failed::default();
-    assert_eq!(Budget::new(0.2).pause_ms(failed, rng), None);
+    let failed = FailedAttempt::default();
+    assert_eq!(RetryBudget::new(0.2).pause_ms(failed, rng), None);
 }
--- a/src/decide/short_requests_tests.rs
+++ b/src/decide/short_requests_tests.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use test_case::test_case;
 
-use super::spread::{Counts, Seat, by_load};
+use super::spread::{Candidate, Counts, by_load};
 
 const UPSTREAMS: usize = 4;
 const SLOTS: u32 = 6;
@@ -50,21 +50,21 @@
 
 impl Pool {
     fn choose(&mut self, way: Way, router: usize, tried: &[usize]) -> Option<usize> {
-        let seat = |at: usize| {
+        let candidate = |at: usize| {
             let waiting = u32::try_from(self.waiting[at].len()).unwrap();
-            Seat {
+            Candidate {
                 running: self.running[at] + waiting,
                 own: self.own[router][at],
-                barred: tried.contains(&at),
-                ..Seat::default()
+                excluded: tried.contains(&at),
+                ..Candidate::default()
             }
         };
-        let seats: Vec<Seat> = (0..UPSTREAMS).map(seat).collect();
+        let candidates: Vec<Candidate> = (0..UPSTREAMS).map(candidate).collect();
         let counts = match way {
-            Way::Own => Counts::Old,
-            Way::Exact => Counts::Hold,
+            Way::Own => Counts::Stale,
+            Way::Exact => Counts::Current,
         };
-        by_load(&seats, counts, &mut self.rng)
+        by_load(&candidates, counts, &mut self.rng)
     }
 
     fn start(&mut self, upstream: usize, router: usize, came_us: u64, now_us: u64) {
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -31,7 +31,7 @@
 
 /// One upstream of the pool, as the router believes it now.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seat {
+pub struct Candidate {
     /// Hash of its id.
     pub id_hash: u64,
     /// Requests of all routers that run or wait there.
@@ -41,11 +41,11 @@
     /// What it runs at once; 0 if it doesn't say.
     pub slots: u32,
     /// It is in this router's data centre.
-    pub near: bool,
+    pub is_local: bool,
     /// It fails or leaves, or this request was there.
-    pub barred: bool,
+    pub excluded: bool,
     /// It lives and gets no work by this router's choice, as it is evacuated or cold.
-    pub spared: bool,
+    pub withheld: bool,
     /// It has been there long enough to hold shared parts, and can be asked for them.
     pub has_parts: bool,
 }
@@ -58,12 +58,12 @@
 /// draw by the share itself; a hot part's upstream could then stand at over twice the mean, so it is the root.
 ///
 /// ```
-/// use cassiagrade::decide::spread::steady;
+/// use cassiagrade::decide::spread::shrink_to_mean;
 /// let mut told = [9.0, 3.0, 0.0];
-/// steady(&mut told, 0.25);
+/// shrink_to_mean(&mut told, 0.25);
 /// assert_eq!(told, [6.5, 3.5, 2.0]);
 /// ```
-pub fn steady(told: &mut [f64], share: f64) {
+pub fn shrink_to_mean(told: &mut [f64], share: f64) {
     let mean = told.iter().sum::<f64>() / told.len().max(1) as f64;
     let kept = share.clamp(0.0, 1.0).sqrt();
     for count in told {
@@ -75,9 +75,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Counts {
     /// Half of the requests that were told of still run, or more.
-    Hold,
+    Current,
     /// Most of them are over.
-    Old,
+    Stale,
 }
 
 impl Counts {
@@ -85,20 +85,20 @@
     ///
     /// ```
     /// use cassiagrade::decide::spread::Counts;
-    /// assert_eq!(Counts::of_age(200.0, Some(60.0)), Counts::Old);
-    /// assert_eq!(Counts::of_age(200.0, Some(800.0)), Counts::Hold);
-    /// assert_eq!(Counts::of_age(200.0, None), Counts::Hold);
+    /// assert_eq!(Counts::of_age(200.0, Some(60.0)), Counts::Stale);
+    /// assert_eq!(Counts::of_age(200.0, Some(800.0)), Counts::Current);
+    /// assert_eq!(Counts::of_age(200.0, None), Counts::Current);
     /// ```
     pub fn of_age(age_ms: f64, usual_ms: Option<f64>) -> Self {
         // Requests that end at random: half are over after this part of their mean.
         let is_old = usual_ms.is_some_and(|usual_ms| age_ms > usual_ms * std::f64::consts::LN_2);
-        if is_old { Self::Old } else { Self::Hold }
+        if is_old { Self::Stale } else { Self::Current }
     }
 }
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Placed {
+pub struct Selection {
     /// The seat.
     pub at: usize,
     /// The seat that likely holds the shared parts, if that is another.
@@ -115,11 +115,11 @@
 }
 
 impl Bound {
-    fn limit(self, pool: &[Seat]) -> f64 {
+    fn limit(self, pool: &[Candidate]) -> f64 {
         match self {
             Self::ByMean => {
-                let of_open = mean(pool, |s| !s.barred) * BOUND_FACTOR;
-                let of_whole = mean(pool, |s| !s.barred || s.spared) * WHOLE_FACTOR;
+                let of_open = mean(pool, |s| !s.excluded) * BOUND_FACTOR;
+                let of_whole = mean(pool, |s| !s.excluded || s.withheld) * WHOLE_FACTOR;
                 of_open.min(of_whole) + BOUND_SLACK
             }
             Self::BySlots => f64::INFINITY,
@@ -127,14 +127,14 @@
     }
 }
 
-impl Seat {
+impl Candidate {
     fn is_full(&self) -> bool {
         self.slots > 0 && self.running >= self.slots
     }
 }
 
 /// The mean load of the seats that count.
-fn mean(pool: &[Seat], counts: impl Fn(&Seat) -> bool) -> f64 {
+fn mean(pool: &[Candidate], counts: impl Fn(&Candidate) -> bool) -> f64 {
     let counted = pool.iter().filter(|s| counts(s));
     let (count, sum) = counted.fold((0_u32, 0_u32), |(n, sum), s| (n + 1, sum + s.running));
     f64::from(sum) / f64::from(count.max(1))
@@ -145,48 +145,48 @@
 /// fraction of the time that reading it anew takes, of the upstream's time too.
 ///
 /// ```
-/// use cassiagrade::decide::spread::{Bound, Seat, by_part};
-/// let mut pool = [1, 2, 3].map(|id_hash| Seat { id_hash, slots: 8, has_parts: true, ..Seat::default() });
+/// use cassiagrade::decide::spread::{Bound, Candidate, by_part};
+/// let mut pool = [1, 2, 3].map(|id_hash| Candidate { id_hash, slots: 8, has_parts: true, ..Candidate::default() });
 /// let first = by_part(7, &pool, Bound::ByMean).unwrap();
 /// assert_eq!(first.source, None);
 /// pool[first.at].running = 8;
 /// let second = by_part(7, &pool, Bound::ByMean).unwrap();
 /// assert_eq!(second.source, Some(first.at));
 /// ```
-pub fn by_part(part: u64, pool: &[Seat], bound: Bound) -> Option<Placed> {
+pub fn by_part(part: u64, pool: &[Candidate], bound: Bound) -> Option<Selection> {
     let bound = bound.limit(pool);
-    let has_room = |s: &Seat| !s.barred && !s.is_full() && f64::from(s.running) < bound;
+    let has_room = |s: &Candidate| !s.excluded && !s.is_full() && f64::from(s.running) < bound;
     let open = pool.iter().enumerate().filter(|(_, s)| has_room(s));
     let best = open.max_by_key(|(_, s)| util::mix(part, s.id_hash));
     let at = best.map(|(at, _)| at).or_else(|| least(pool))?;
     let holders = pool.iter().enumerate().filter(|(_, s)| s.has_parts);
     let holder = holders.max_by_key(|(_, s)| util::mix(part, s.id_hash));
     let source = holder.map(|(at, _)| at).filter(|source| *source != at);
-    Some(Placed { at, source })
+    Some(Selection { at, source })
 }
 
 /// The seat with the least running; of equals a near one, of those any. Where the others' counts are old, the one where
 /// this router runs the least; of those any, as one near to all of a data centre's routers would get their burst.
 ///
 /// ```
-/// use cassiagrade::decide::spread::{Counts, Seat, by_load};
+/// use cassiagrade::decide::spread::{Counts, Candidate, by_load};
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// let seat = |running, own| Seat { running, own, ..Seat::default() };
+/// let candidate = |running, own| Candidate { running, own, ..Candidate::default() };
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let pool = [seat(3, 0), seat(1, 1), seat(2, 1)];
-/// assert_eq!(by_load(&pool, Counts::Hold, &mut rng), Some(1));
-/// assert_eq!(by_load(&pool, Counts::Old, &mut rng), Some(0));
+/// let pool = [candidate(3, 0), candidate(1, 1), candidate(2, 1)];
+/// assert_eq!(by_load(&pool, Counts::Current, &mut rng), Some(1));
+/// assert_eq!(by_load(&pool, Counts::Stale, &mut rng), Some(0));
 /// ```
-pub fn by_load<R: Rng>(pool: &[Seat], counts: Counts, rng: &mut R) -> Option<usize> {
-    let open = pool.iter().enumerate().filter(|(_, s)| !s.barred);
-    let key = |s: &Seat, rng: &mut R| match counts {
-        Counts::Hold => (s.running, !s.near, rng.random::<u32>()),
-        Counts::Old => (s.own, false, rng.random()),
+pub fn by_load<R: Rng>(pool: &[Candidate], counts: Counts, rng: &mut R) -> Option<usize> {
+    let open = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
+    let key = |s: &Candidate, rng: &mut R| match counts {
+        Counts::Current => (s.running, !s.is_local, rng.random::<u32>()),
+        Counts::Stale => (s.own, false, rng.random()),
     };
     open.min_by_key(|(_, s)| key(s, rng)).map(|(at, _)| at)
 }
 
-fn least(pool: &[Seat]) -> Option<usize> {
-    let open = pool.iter().enumerate().filter(|(_, s)| !s.barred);
+fn least(pool: &[Candidate]) -> Option<usize> {
+    let open = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
     open.min_by_key(|(_, s)| s.running).map(|(at, _)| at)
 }
--- a/src/decide/spread_tests.rs
+++ b/src/decide/spread_tests.rs
@@ -1,16 +1,16 @@
-use super::spread::{BOUND_FACTOR, BOUND_SLACK, Bound, Counts, Seat, by_load, by_part};
+use super::spread::{BOUND_FACTOR, BOUND_SLACK, Bound, Candidate, Counts, by_load, by_part};
 use crate::util;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-fn pool(size: u64, slots: u32) -> Vec<Seat> {
-    let seat = |id| Seat {
+fn pool(size: u64, slots: u32) -> Vec<Candidate> {
+    let candidate = |id| Candidate {
         id_hash: util::mix(id, 1),
         slots,
         has_parts: true,
-        ..Seat::default()
+        ..Candidate::default()
     };
-    (0..size).map(seat).collect()
+    (0..size).map(candidate).collect()
 }
 
 /// Every fourth request asks about one and the same thing. Sent by its shared part alone, that
@@ -50,7 +50,7 @@
 fn other_parts_stay_when_one_upstream_goes() {
     let whole = pool(12, 64);
     let mut fewer = whole.clone();
-    fewer[3].barred = true;
+    fewer[3].excluded = true;
     for part in 0..200 {
         let before = by_part(part, &whole, Bound::ByMean).unwrap().at;
         let after = by_part(part, &fewer, Bound::ByMean).unwrap();
@@ -67,15 +67,15 @@
 #[test]
 fn barred_upstreams_get_nothing() {
     let mut pool = pool(3, 2);
-    pool[0].barred = true;
-    pool[1].barred = true;
+    pool[0].excluded = true;
+    pool[1].excluded = true;
     pool[2].running = 2;
     let mut rng = SmallRng::seed_from_u64(1);
     assert_eq!(by_part(5, &pool, Bound::ByMean).map(|p| p.at), Some(2));
-    assert_eq!(by_load(&pool, Counts::Hold, &mut rng), Some(2));
-    pool[2].barred = true;
+    assert_eq!(by_load(&pool, Counts::Current, &mut rng), Some(2));
+    pool[2].excluded = true;
     assert_eq!(by_part(5, &pool, Bound::ByMean), None);
-    assert_eq!(by_load(&pool, Counts::Hold, &mut rng), None);
+    assert_eq!(by_load(&pool, Counts::Current, &mut rng), None);
 }
 
 /// An upstream joins and becomes the first of some parts' orders, with an empty cache. Reading these
@@ -90,7 +90,7 @@
     let placed = by_part(part, &pool, Bound::ByMean).unwrap();
     assert_eq!(placed.at, 5);
     let second = placed.source.unwrap();
-    pool[5].barred = true;
+    pool[5].excluded = true;
     assert_eq!(by_part(part, &pool, Bound::ByMean).unwrap().at, second);
 }
 
@@ -99,7 +99,7 @@
 /// and callers are turned away though the pool is at two thirds of its load.
 #[test]
 fn old_counts_say_nothing_of_short_requests() {
-    let by_old_counts = turned_away(Counts::Hold);
+    let by_old_counts = turned_away(Counts::Current);
     let by_own = turned_away(Counts::of_age(200.0, Some(60.0)));
     assert!(
         by_old_counts > 0.05,
@@ -131,17 +131,17 @@
             told = running.each_ref().map(|r| u32::try_from(r.len()).unwrap());
         }
         let router = rng.random_range(0..ROUTERS);
-        let seat = |at: usize| {
+        let candidate = |at: usize| {
             let own = running[at].iter().filter(|(_, by)| *by == router).count();
             let own = u32::try_from(own).unwrap();
-            Seat {
+            Candidate {
                 running: told[at] + own,
                 own,
-                ..Seat::default()
+                ..Candidate::default()
             }
         };
-        let seats: Vec<Seat> = (0..running.len()).map(seat).collect();
-        let at = by_load(&seats, counts, &mut rng).unwrap();
+        let candidates: Vec<Candidate> = (0..running.len()).map(candidate).collect();
+        let at = by_load(&candidates, counts, &mut rng).unwrap();
         if running[at].len() >= ROOM {
             refused += 1;
         } else {
@@ -156,16 +156,16 @@
 /// that take work it could.
 #[test]
 fn hot_part_stays_below_the_bound_beside_an_evacuation() {
-    let seat = |i: u64| Seat {
+    let candidate = |i: u64| Candidate {
         id_hash: i,
         running: if i < 30 { 0 } else { 9 },
         slots: 32,
-        barred: i < 30,
-        spared: i < 30,
+        excluded: i < 30,
+        withheld: i < 30,
         has_parts: true,
-        ..Seat::default()
+        ..Candidate::default()
     };
-    let mut pool: Vec<Seat> = (0..90).map(seat).collect();
+    let mut pool: Vec<Candidate> = (0..90).map(candidate).collect();
     let first = by_part(7, &pool, Bound::ByMean).unwrap().at;
     let mut added = 0;
     while by_part(7, &pool, Bound::ByMean).unwrap().at == first {
--- a/src/fleet/flights_tests.rs
+++ b/src/fleet/flights_tests.rs
@@ -3,18 +3,18 @@
 use rand::seq::index::sample;
 use test_case::test_case;
 
-use super::flights::{FlightTable, KEEP_MS, MAX_TOLD, TELL_MS};
-use crate::schema::peer::{Flight, Flights, Wish};
+use super::in_flight::{InFlightTable, KEEP_MS, MAX_REPORTED, REPORT_INTERVAL_MS};
+use crate::schema::peer::{InFlightCount, InFlightReport, ServiceDemand};
 
-fn told(host: &str, seq: u64, running: u32) -> Flights {
-    Flights {
+fn told(host: &str, seq: u64, running: u32) -> InFlightReport {
+    InFlightReport {
         from_host: host.to_owned(),
         from_incarnation: 1,
         seq,
-        flights: vec![Flight {
+        flights: vec![InFlightCount {
             upstream_digest: 9,
             running,
-            ..Flight::default()
+            ..InFlightCount::default()
         }],
         mark: None,
         wishes: Vec::new(),
@@ -24,7 +24,7 @@
 /// Two routers send to one upstream; each alone would see half of its load and send on.
 #[test]
 fn counts_of_all_routers_add_up() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(told("a", 1, 2), 0);
     table.heard(told("b", 1, 3), 0);
     assert_eq!(table.picture(3, 1).upstreams[&9].running, 5.0);
@@ -34,7 +34,7 @@
 /// gone.
 #[test]
 fn late_datagram_changes_nothing() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(told("a", 2, 1), 0);
     table.heard(told("a", 1, 50), 1);
     assert_eq!(table.picture(2, 2).upstreams[&9].running, 1.0);
@@ -44,7 +44,7 @@
 /// counted.
 #[test]
 fn dead_router_is_forgotten() {
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     table.heard(told("a", 1, 4), 0);
     assert!(table.picture(2, KEEP_MS).upstreams.is_empty());
 }
@@ -53,9 +53,9 @@
 /// A datagram that comes twice must not count twice.
 #[test]
 fn outcomes_of_all_routers_add_up() {
-    let mut table = FlightTable::default();
-    let told = |host: &str, failed| Flights {
-        flights: vec![Flight {
+    let mut table = InFlightTable::default();
+    let told = |host: &str, failed| InFlightReport {
+        flights: vec![InFlightCount {
             upstream_digest: 9,
             running: 0,
             ended: 4,
@@ -75,12 +75,12 @@
 /// dies wants nothing any more.
 #[test]
 fn wishes_of_living_routers_are_known() {
-    let mut table = FlightTable::default();
-    let wish = |wanted| Wish {
+    let mut table = InFlightTable::default();
+    let wish = |wanted| ServiceDemand {
         service_digest: 3,
         wanted,
     };
-    let told = |host: &str, wanted| Flights {
+    let told = |host: &str, wanted| InFlightReport {
         wishes: vec![wish(wanted)],
         ..told(host, 1, 0)
     };
@@ -101,19 +101,19 @@
 #[test_case(390; "the fleet to come")]
 fn sums_are_those_of_the_whole_fleet(routers: usize) {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut table = FlightTable::default();
+    let mut table = InFlightTable::default();
     let (mut sums, mut wanted) = (Vec::new(), Vec::new());
     for seq in 1..=50 {
-        let now_ms = seq * TELL_MS;
+        let now_ms = seq * REPORT_INTERVAL_MS;
         for from in 1..routers {
-            let to = sample(&mut rng, routers - 1, MAX_TOLD.min(routers - 1));
+            let to = sample(&mut rng, routers - 1, MAX_REPORTED.min(routers - 1));
             if to.iter().any(|to| to == 0) {
-                let wishes = vec![Wish {
+                let wishes = vec![ServiceDemand {
                     service_digest: 3,
                     wanted: 7,
                 }];
                 let told = told(&format!("router-{from}"), seq, 2);
-                table.heard(Flights { wishes, ..told }, now_ms);
+                table.heard(InFlightReport { wishes, ..told }, now_ms);
             }
         }
         if now_ms >= KEEP_MS {
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -11,10 +11,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::decide::PoolView;
-use crate::fleet::flights::Picture;
+use crate::fleet::in_flight::FleetInFlight;
 use crate::fleet::member::Member;
 use crate::fleet::swim::Listed;
-use crate::schema::peer::{Flight, Load, NewsMark, Suspicion, Wish, datagram};
+use crate::schema::peer::{InFlightCount, Load, LogPosition, ServiceDemand, Suspicion, datagram};
 use crate::util::Name;
 
 /// The latest known load of each upstream.
@@ -52,7 +52,7 @@
     /// What this router holds of a request.
     Suspicion(Suspicion),
     /// What this router has running at all upstreams, and wants to run of each service.
-    Flights(Vec<Flight>, Vec<Wish>, NewsMark),
+    InFlight(Vec<InFlightCount>, Vec<ServiceDemand>, LogPosition),
     /// What an upstream says of itself to this router, its home.
     UpstreamLeaving {
         /// Its name.
@@ -64,7 +64,7 @@
 
 /// The newest configuration any router was heard to have.
 #[derive(Clone, Debug)]
-pub struct ConfigHeard {
+pub struct NewestConfig {
     /// Last record of the configuration stream it stands at.
     pub offset: u64,
     /// Digest of the state there.
@@ -73,7 +73,7 @@
     pub peer_addr: Name,
 }
 
-impl Default for ConfigHeard {
+impl Default for NewestConfig {
     fn default() -> Self {
         Self {
             offset: 0,
@@ -85,26 +85,26 @@
 
 /// What another router said it knows.
 #[derive(Clone, Debug, Default)]
-pub struct MarkHeard {
+pub struct PeerPosition {
     /// Who said so; empty before anyone did.
     pub host: String,
     /// How much it knows.
-    pub mark: NewsMark,
+    pub position: LogPosition,
 }
 
 /// Where the task that owns the probes puts what it hears.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct GossipSenders {
     pub(crate) loads: watch::Sender<Arc<Loads>>,
     pub(crate) suspicions: watch::Sender<Arc<Vec<Suspicion>>>,
-    pub(crate) config: watch::Sender<Arc<ConfigHeard>>,
-    pub(crate) flights: watch::Sender<Arc<Picture>>,
-    pub(crate) marks: watch::Sender<Arc<MarkHeard>>,
+    pub(crate) config: watch::Sender<Arc<NewestConfig>>,
+    pub(crate) flights: watch::Sender<Arc<FleetInFlight>>,
+    pub(crate) peer_positions: watch::Sender<Arc<PeerPosition>>,
 }
 
 /// What the task that owns the probes is told.
 #[derive(Debug)]
-pub(crate) enum Note {
+pub(crate) enum GossipCommand {
     /// Another task has something for the others.
     Publish(Publish),
     /// A datagram of the fleet came.
@@ -112,7 +112,7 @@
     /// The platform's list was read: routers, and upstreams that are going away.
     Listed(Vec<Listed>, Vec<Name>),
     /// A peer told all it knows.
-    Told(Vec<Member>),
+    MembersReceived(Vec<Member>),
     /// A peer asks for all that is known.
     Members(oneshot::Sender<Vec<Member>>),
     /// This router stops by plan.
@@ -124,24 +124,24 @@
 /// A handle to what is told and heard.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    tx: mpsc::UnboundedSender<Note>,
+    tx: mpsc::UnboundedSender<GossipCommand>,
     loads: watch::Receiver<Arc<Loads>>,
     suspicions: watch::Receiver<Arc<Vec<Suspicion>>>,
-    config: watch::Receiver<Arc<ConfigHeard>>,
-    flights: watch::Receiver<Arc<Picture>>,
-    marks: watch::Receiver<Arc<MarkHeard>>,
+    config: watch::Receiver<Arc<NewestConfig>>,
+    flights: watch::Receiver<Arc<FleetInFlight>>,
+    peer_positions: watch::Receiver<Arc<PeerPosition>>,
 }
 
 impl Gossip {
     /// A handle, and the ends that the task which owns the probes holds.
-    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<Note>, Heard) {
+    pub(crate) fn open() -> (Self, mpsc::UnboundedReceiver<GossipCommand>, GossipSenders) {
         let (tx, rx) = mpsc::unbounded_channel();
-        let heard = Heard {
+        let heard = GossipSenders {
             loads: watch::channel(Arc::default()).0,
             suspicions: watch::channel(Arc::default()).0,
             config: watch::channel(Arc::default()).0,
             flights: watch::channel(Arc::default()).0,
-            marks: watch::channel(Arc::default()).0,
+            peer_positions: watch::channel(Arc::default()).0,
         };
         let gossip = Self {
             tx,
@@ -149,19 +149,19 @@
             suspicions: heard.suspicions.subscribe(),
             config: heard.config.subscribe(),
             flights: heard.flights.subscribe(),
-            marks: heard.marks.subscribe(),
+            peer_positions: heard.peer_positions.subscribe(),
         };
         (gossip, rx, heard)
     }
 
     /// Tells the others, at the next occasion.
     pub fn publish(&self, publish: Publish) {
-        self.note(Note::Publish(publish));
+        self.send(GossipCommand::Publish(publish));
     }
 
-    pub(crate) fn note(&self, note: Note) {
+    pub(crate) fn send(&self, command: GossipCommand) {
         // The task ends only with the router.
-        let _ = self.tx.send(note);
+        let _ = self.tx.send(command);
     }
 
     /// The latest loads.
@@ -175,17 +175,17 @@
     }
 
     /// What the other routers run and want.
-    pub fn flights(&self) -> Arc<Picture> {
+    pub fn in_flight(&self) -> Arc<FleetInFlight> {
         self.flights.borrow().clone()
     }
 
     /// What another router last said it knows; each change may be another's.
-    pub fn marks(&self) -> watch::Receiver<Arc<MarkHeard>> {
-        self.marks.clone()
+    pub fn peer_positions(&self) -> watch::Receiver<Arc<PeerPosition>> {
+        self.peer_positions.clone()
     }
 
     /// The newest configuration heard of, and who has it.
-    pub fn config_heard(&self) -> watch::Receiver<Arc<ConfigHeard>> {
+    pub fn newest_config(&self) -> watch::Receiver<Arc<NewestConfig>> {
         self.config.clone()
     }
 }
--- a/src/fleet/roster.rs
+++ b/src/fleet/host_list.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use tokio::sync::watch;
 
-use crate::fleet::gossip::{Gossip, Note};
+use crate::fleet::gossip::{Gossip, GossipCommand};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::fleet::swim::Listed;
 use crate::log::platform::{HostKind, ListedHost, Platform};
@@ -49,7 +49,7 @@
                 let routers = routers.into_iter().map(listed).collect();
                 let leaving = upstreams.into_iter().filter(|host| host.leaving);
                 let leaving = leaving.map(|host| host.name.into()).collect();
-                gossip.note(Note::Listed(routers, leaving));
+                gossip.send(GossipCommand::Listed(routers, leaving));
             }
             Err(e) => log::warn!("list of hosts can't be read: {e}"),
         }
--- a/src/fleet/flights.rs
+++ b/src/fleet/in_flight.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use crate::decide::grey::Outcomes;
-use crate::schema::peer::{Flights, Wish};
+use crate::schema::peer::{InFlightReport, ServiceDemand};
 use crate::util::Name;
 
 /// What a router told is forgotten after this long: it is gone, or cut off. Several times the pause
@@ -16,15 +16,15 @@
 pub const KEEP_MS: u64 = 1_500;
 
 /// Routers that one telling of what runs where goes to.
-pub const MAX_TOLD: usize = 16;
+pub const MAX_REPORTED: usize = 16;
 /// The pause between two tellings of a router: what others see of its counts is at most this and a datagram's way old.
-pub const TELL_MS: u64 = 200;
+pub const REPORT_INTERVAL_MS: u64 = 200;
 
 /// How many of `live` routers can reach this one, which has heard `heard` of the others within [`KEEP_MS`]. All of a
 /// small fleet are heard all the time; in a large one each telling goes to some, and a part is heard by chance.
 ///
 /// ```
-/// use cassiagrade::fleet::flights::reachable;
+/// use cassiagrade::fleet::in_flight::reachable;
 /// assert_eq!(reachable(8, 9), 9);
 /// assert_eq!(reachable(0, 195), 1);
 /// // Of 195, some 92 are heard within the time that a telling is kept; half of that is half of the fleet.
@@ -39,8 +39,8 @@
 
 /// How many of `others` are heard within [`KEEP_MS`], if all live.
 fn expected_heard(others: usize) -> f64 {
-    let told = MAX_TOLD.min(others) as f64 / others.max(1) as f64;
-    let tellings = KEEP_MS as f64 / TELL_MS as f64;
+    let told = MAX_REPORTED.min(others) as f64 / others.max(1) as f64;
+    let tellings = KEEP_MS as f64 / REPORT_INTERVAL_MS as f64;
     others as f64 * (1.0 - (1.0 - told).powf(tellings))
 }
 
@@ -50,12 +50,12 @@
     seq: u64,
     at_ms: u64,
     running: HashMap<u32, u32>,
-    wishes: Vec<Wish>,
+    wishes: Vec<ServiceDemand>,
 }
 
 /// What the other routers told of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct UpstreamTotals {
     /// Requests that run there now, by what those that were heard told.
     pub running: f64,
     /// How calls of the last seconds ended.
@@ -64,9 +64,9 @@
 
 /// What the other routers told, put together.
 #[derive(Clone, Debug, Default)]
-pub struct Picture {
+pub struct FleetInFlight {
     /// By the digest of the upstream.
-    pub upstreams: HashMap<u32, Told>,
+    pub upstreams: HashMap<u32, UpstreamTotals>,
     /// How many requests each router that wants any wants to run, by the digest of the service.
     pub wishes: HashMap<u32, Vec<u32>>,
     /// Routers that were heard lately.
@@ -79,14 +79,14 @@
 
 /// The other routers' counts.
 #[derive(Debug, Default)]
-pub struct FlightTable {
+pub struct InFlightTable {
     rows: HashMap<Name, Row>,
     outcomes: HashMap<u32, Outcomes>,
 }
 
-impl FlightTable {
+impl InFlightTable {
     /// Takes what a router told, unless something newer of it is known.
-    pub fn heard(&mut self, told: Flights, now_ms: u64) {
+    pub fn heard(&mut self, told: InFlightReport, now_ms: u64) {
         let stamp = (told.from_incarnation, told.seq);
         let known = self.rows.get(&*told.from_host);
         if known.is_some_and(|row| (row.incarnation, row.seq) >= stamp) {
@@ -111,7 +111,7 @@
     ///
     /// Failure guarded against: in a large fleet half of the routers are heard at a time. Summed as if they were all, upstreams
     /// look half as loaded as they are, and each router takes twice its part of a full service's places.
-    pub fn picture(&mut self, live: usize, now_ms: u64) -> Picture {
+    pub fn picture(&mut self, live: usize, now_ms: u64) -> FleetInFlight {
         let mut upstreams = self.sums(now_ms);
         let heard = self.rows.len();
         let scale = (reachable(heard, live) - 1).max(heard) as f64 / heard.max(1) as f64;
@@ -128,12 +128,12 @@
             let all = (of_service.len() as f64 * scale).round() as usize;
             *of_service = of_service.iter().copied().cycle().take(all).collect();
         }
-        Picture {
+        FleetInFlight {
             upstreams,
             wishes,
             heard,
             share: 1.0 / scale,
-            age_ms: self.mean_age_ms(now_ms) + TELL_MS as f64 / 2.0,
+            age_ms: self.mean_age_ms(now_ms) + REPORT_INTERVAL_MS as f64 / 2.0,
         }
     }
 
@@ -146,16 +146,17 @@
     }
 
     /// The sums over all routers that were heard lately, by the digest of the upstream.
-    fn sums(&mut self, now_ms: u64) -> HashMap<u32, Told> {
+    fn sums(&mut self, now_ms: u64) -> HashMap<u32, UpstreamTotals> {
         self.rows
             .retain(|_, row| now_ms.saturating_sub(row.at_ms) < KEEP_MS);
-        self.outcomes.retain(|_, o| o.at(now_ms).is_told());
+        self.outcomes.retain(|_, o| o.at(now_ms).is_significant());
         let outcomes = self.outcomes.iter();
-        let told = |outcomes: Outcomes| Told {
+        let told = |outcomes: Outcomes| UpstreamTotals {
             outcomes: outcomes.at(now_ms),
-            ..Told::default()
+            ..UpstreamTotals::default()
         };
-        let mut sums: HashMap<u32, Told> = outcomes.map(|(d, o)| (*d, told(*o))).collect();
+        let mut sums: HashMap<u32, UpstreamTotals> =
+            outcomes.map(|(d, o)| (*d, told(*o))).collect();
         for (digest, running) in self.rows.values().flat_map(|row| &row.running) {
             sums.entry(*digest).or_default().running += f64::from(*running);
         }
--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -9,7 +9,7 @@
 use rand::seq::SliceRandom;
 
 use crate::fleet::loads::digest;
-use crate::schema::peer::LeavingBeat;
+use crate::schema::peer::LeavingUpdate;
 use crate::util::Name;
 
 /// What nobody repeated for this long no longer holds.
@@ -46,7 +46,7 @@
     }
 
     /// Takes over what others say.
-    pub fn merge(&mut self, beats: &[LeavingBeat], now_ms: u64) {
+    pub fn merge(&mut self, beats: &[LeavingUpdate], now_ms: u64) {
         for beat in beats {
             let at_ms = now_ms.saturating_sub(u64::from(beat.age_ms) + HOP_MS);
             let known = self.heard.entry(beat.upstream_digest).or_insert(at_ms);
@@ -57,7 +57,7 @@
     }
 
     /// At most `max` to tell, in random order.
-    pub fn beats<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingBeat> {
+    pub fn beats<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingUpdate> {
         let own = self.own().map(|digest| (digest, 0));
         let mut ages: HashMap<u32, u64> = self
             .heard
@@ -66,9 +66,9 @@
             .filter(|(_, age_ms)| *age_ms < LEAVING_KEEP_MS)
             .collect();
         ages.extend(own);
-        let mut beats: Vec<LeavingBeat> = ages
+        let mut beats: Vec<LeavingUpdate> = ages
             .into_iter()
-            .map(|(upstream_digest, age_ms)| LeavingBeat {
+            .map(|(upstream_digest, age_ms)| LeavingUpdate {
                 upstream_digest,
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             })
--- a/src/fleet/loads.rs
+++ b/src/fleet/loads.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::schema::peer::{Load, LoadBeat};
+use crate::schema::peer::{Load, LoadUpdate};
 use crate::util::{self, Name};
 
 /// A load nobody repeated for this long is forgotten: its home is gone or no longer its home.
@@ -22,14 +22,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    beat: LoadBeat,
+    beat: LoadUpdate,
     at_ms: u64,
 }
 
 /// Loads heard of, and those of this router's own upstreams.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    own: HashMap<u32, LoadBeat>,
+    own: HashMap<u32, LoadUpdate>,
     heard: HashMap<u32, Row>,
 }
 
@@ -45,9 +45,9 @@
         let before = std::mem::take(&mut self.own);
         for name in names {
             let upstream_digest = digest(name);
-            let idle = LoadBeat {
+            let idle = LoadUpdate {
                 upstream_digest,
-                ..LoadBeat::default()
+                ..LoadUpdate::default()
             };
             let beat = before.get(&upstream_digest).copied().unwrap_or(idle);
             self.own.insert(upstream_digest, beat);
@@ -64,7 +64,7 @@
     pub fn publish(&mut self, load: &Load) {
         let upstream_digest = digest(&load.upstream);
         if let Some(beat) = self.own.get_mut(&upstream_digest) {
-            *beat = LoadBeat {
+            *beat = LoadUpdate {
                 upstream_digest,
                 work_ms: whole_ms(load.work_ms),
                 in_flight: load.in_flight,
@@ -75,7 +75,7 @@
     }
 
     /// Takes over loads that are newer than those known.
-    pub fn merge(&mut self, beats: &[LoadBeat], now_ms: u64) {
+    pub fn merge(&mut self, beats: &[LoadUpdate], now_ms: u64) {
         for beat in beats {
             let age_ms = u64::from(beat.age_ms) + HOP_MS;
             if age_ms > LOAD_KEEP_MS {
@@ -91,10 +91,10 @@
     }
 
     /// Loads to send now: all of this router's own, then others in random order, `max` at most.
-    pub fn beats<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadBeat> {
+    pub fn beats<R: Rng>(&mut self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LoadUpdate> {
         self.heard
             .retain(|_, row| now_ms.saturating_sub(row.at_ms) < LOAD_KEEP_MS);
-        let mut beats: Vec<LoadBeat> = self.own.values().copied().collect();
+        let mut beats: Vec<LoadUpdate> = self.own.values().copied().collect();
         beats.shuffle(rng);
         let mut others: Vec<&Row> = self.heard.values().collect();
         let (others, _) = others.partial_shuffle(rng, max);
@@ -106,7 +106,7 @@
                 continue;
             }
             let age_ms = now_ms.saturating_sub(row.at_ms);
-            beats.push(LoadBeat {
+            beats.push(LoadUpdate {
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 ..row.beat
             });
@@ -131,7 +131,7 @@
     }
 }
 
-fn load(name: &Name, beat: &LoadBeat, at_ms: u64) -> Load {
+fn load(name: &Name, beat: &LoadUpdate, at_ms: u64) -> Load {
     Load {
         upstream: name.to_string(),
         work_ms: f64::from(beat.work_ms),
--- a/src/fleet/loads_tests.rs
+++ b/src/fleet/loads_tests.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::gossip::Loads;
 use crate::fleet::loads::{LOAD_KEEP_MS, LoadTable, digest};
-use crate::schema::peer::{Load, LoadBeat};
+use crate::schema::peer::{Load, LoadUpdate};
 use crate::util::Name;
 
 fn names(n: usize) -> Vec<Name> {
@@ -97,10 +97,10 @@
 fn load_of_dead_home_ages_out() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let beat = LoadBeat {
+    let beat = LoadUpdate {
         upstream_digest: digest(&names[0]),
         work_ms: 7,
-        ..LoadBeat::default()
+        ..LoadUpdate::default()
     };
     table.merge(&[beat], 1_000);
     let digests = digests(&names);
@@ -129,11 +129,11 @@
 fn newest_load_wins() {
     let mut table = LoadTable::default();
     let names = names(1);
-    let beat = |work_ms, age_ms| LoadBeat {
+    let beat = |work_ms, age_ms| LoadUpdate {
         upstream_digest: digest(&names[0]),
         work_ms,
         age_ms,
-        ..LoadBeat::default()
+        ..LoadUpdate::default()
     };
     table.merge(&[beat(9, 0)], 1_000);
     table.merge(&[beat(5, 300)], 1_010);
--- a/src/fleet/news.rs
+++ b/src/fleet/log_reads.rs
@@ -61,16 +61,16 @@
 
 /// When to read, from how soon a change of the log must be in force everywhere.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ReadSchedule {
     bound_ms: f64,
 }
 
-impl Pace {
+impl ReadSchedule {
     /// A change must be in force within `bound_ms`.
     ///
     /// ```
-    /// use cassiagrade::fleet::news::Pace;
-    /// assert_eq!(Pace::within(2_000.0).wait().as_millis(), 900);
+    /// use cassiagrade::fleet::log_reads::ReadSchedule;
+    /// assert_eq!(ReadSchedule::within(2_000.0).wait().as_millis(), 900);
     /// ```
     pub fn within(bound_ms: f64) -> Self {
         Self {
@@ -95,7 +95,7 @@
     confirmed_ms: u64,
     /// Where in the spread this router reads for itself, from 0 to 1; drawn anew each time.
     lot: f64,
-    is_doubted: bool,
+    is_invalidated: bool,
 }
 
 impl Freshness {
@@ -104,21 +104,21 @@
         if at_ms > self.confirmed_ms {
             self.confirmed_ms = at_ms;
             self.lot = rng.random();
-            self.is_doubted = false;
+            self.is_invalidated = false;
         }
     }
 
     /// The same, but old at once: this router must look for itself.
-    pub fn doubted(self) -> Self {
+    pub fn invalidated(self) -> Self {
         Self {
-            is_doubted: true,
+            is_invalidated: true,
             ..self
         }
     }
 
     /// Whether this router must look for itself, however fresh the news are.
-    pub fn is_doubted(&self) -> bool {
-        self.is_doubted
+    pub fn is_invalidated(&self) -> bool {
+        self.is_invalidated
     }
 
     /// When what is known was last all there was.
@@ -134,20 +134,20 @@
     /// Whether it is so old that this router must look for itself.
     ///
     /// ```
-    /// use cassiagrade::fleet::news::{Freshness, Pace};
+    /// use cassiagrade::fleet::log_reads::{Freshness, ReadSchedule};
     /// use rand::{SeedableRng, rngs::SmallRng};
     /// let mut rng = SmallRng::seed_from_u64(1);
     /// let mut freshness = Freshness::default();
     /// freshness.confirm(10_000, &mut rng);
-    /// let pace = Pace::within(2_000.0);
-    /// assert!(!freshness.is_stale(11_200, pace));
-    /// assert!(freshness.is_stale(11_900, pace));
+    /// let schedule = ReadSchedule::within(2_000.0);
+    /// assert!(!freshness.is_stale(11_200, schedule));
+    /// assert!(freshness.is_stale(11_900, schedule));
     /// ```
-    pub fn is_stale(&self, now_ms: u64, pace: Pace) -> bool {
-        if self.is_doubted || self.confirmed_ms == 0 {
+    pub fn is_stale(&self, now_ms: u64, schedule: ReadSchedule) -> bool {
+        if self.is_invalidated || self.confirmed_ms == 0 {
             return true;
         }
-        let stale_ms = pace.bound_ms * STALE_SHARE + self.lot * pace.spread_ms();
+        let stale_ms = schedule.bound_ms * STALE_SHARE + self.lot * schedule.spread_ms();
         self.age_ms(now_ms) as f64 > stale_ms
     }
 }
@@ -177,7 +177,7 @@
     /// news from others.
     ///
     /// ```
-    /// use cassiagrade::fleet::news::Backoff;
+    /// use cassiagrade::fleet::log_reads::Backoff;
     /// use rand::{SeedableRng, rngs::SmallRng};
     /// let mut backoff = Backoff::default();
     /// backoff.failed(1_000, &mut SmallRng::seed_from_u64(1));
@@ -216,9 +216,9 @@
 /// readers that they come from.
 ///
 /// ```
-/// use cassiagrade::fleet::news::{Backoff, Freshness, Pace, Role, read_due};
-/// let (fresh, backoff, pace) = (Freshness::default(), Backoff::default(), Pace::within(2_000.0));
-/// let due = |is_reader| read_due(Role { is_reader, routers: 9 }, fresh, backoff, pace, 1);
+/// use cassiagrade::fleet::log_reads::{Backoff, Freshness, ReadSchedule, Role, read_due};
+/// let (fresh, backoff, schedule) = (Freshness::default(), Backoff::default(), ReadSchedule::within(2_000.0));
+/// let due = |is_reader| read_due(Role { is_reader, routers: 9 }, fresh, backoff, schedule, 1);
 /// assert_eq!(due(true).unwrap().as_millis(), 900);
 /// assert_eq!(due(false).unwrap().as_millis(), 0, "nothing is known yet");
 /// ```
@@ -226,17 +226,17 @@
     role: Role,
     fresh: Freshness,
     backoff: Backoff,
-    pace: Pace,
+    schedule: ReadSchedule,
     now_ms: u64,
 ) -> Option<Duration> {
     let sharing = if role.is_reader { 1 } else { role.routers };
-    let is_stale = fresh.is_stale(now_ms, pace);
+    let is_stale = fresh.is_stale(now_ms, schedule);
     let is_needed = role.is_reader && is_stale;
     if !(role.is_reader || is_stale) || !backoff.is_due(now_ms, is_needed, sharing) {
         return None;
     }
     Some(if role.is_reader {
-        pace.wait()
+        schedule.wait()
     } else {
         Duration::ZERO
     })
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! Membership is only ever a hint: nothing that must be agreed or kept rests on it.
 
-pub mod flights;
 pub mod gossip;
 pub mod homes;
+pub mod host_list;
+pub mod in_flight;
 pub mod leaving;
 pub mod loads;
+pub mod log_reads;
 pub mod member;
-pub mod news;
 #[cfg(test)]
 mod news_tests;
-pub mod roster;
 pub mod suspects;
 pub mod swim;
 
--- a/src/fleet/news_tests.rs
+++ b/src/fleet/news_tests.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, SeedableRng};
 use test_case::test_case;
 
-use super::flights::{MAX_TOLD, TELL_MS};
-use super::news::{Backoff, Freshness, Pace, READERS, Role, read_due};
+use super::in_flight::{MAX_REPORTED, REPORT_INTERVAL_MS};
+use super::log_reads::{Backoff, Freshness, READERS, ReadSchedule, Role, read_due};
 
 const LOOK_MS: u64 = 100;
 const ANSWER_MS: u64 = 5;
@@ -22,7 +22,7 @@
 /// Routers of which the first [`READERS`] read, one stream of the log, and tellings in between.
 struct Fleet {
     routers: Vec<Router>,
-    pace: Pace,
+    schedule: ReadSchedule,
     is_log_up: bool,
     now_ms: u64,
     calls: u32,
@@ -39,7 +39,7 @@
         };
         let mut fleet = Self {
             routers: (0..routers).map(|_| router()).collect(),
-            pace: Pace::within(bound_ms),
+            schedule: ReadSchedule::within(bound_ms),
             is_log_up: true,
             now_ms: 1,
             calls: 0,
@@ -55,7 +55,7 @@
         while self.now_ms < end_ms {
             self.now_ms += 1;
             self.answer();
-            if self.now_ms.is_multiple_of(TELL_MS) {
+            if self.now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
                 self.tell();
             }
             if self.now_ms.is_multiple_of(LOOK_MS) {
@@ -86,7 +86,7 @@
                 continue;
             }
             let confirmed_ms = self.routers[from].fresh.confirmed_ms();
-            let told: Vec<usize> = sample(&mut self.rng, n, MAX_TOLD.min(n)).into_vec();
+            let told: Vec<usize> = sample(&mut self.rng, n, MAX_REPORTED.min(n)).into_vec();
             for to in told {
                 self.routers[to].fresh.confirm(confirmed_ms, &mut self.rng);
             }
@@ -100,7 +100,13 @@
                 is_reader: at < READERS,
                 routers: n,
             };
-            let due = read_due(role, router.fresh, router.backoff, self.pace, self.now_ms);
+            let due = read_due(
+                role,
+                router.fresh,
+                router.backoff,
+                self.schedule,
+                self.now_ms,
+            );
             let (true, None, Some(wait)) = (router.is_up, router.read, due) else {
                 continue;
             };
@@ -179,11 +185,11 @@
 #[test]
 fn router_that_is_cut_off_reads_in_time() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let pace = Pace::within(4_000.0);
+    let schedule = ReadSchedule::within(4_000.0);
     for _ in 0..1_000 {
         let mut fresh = Freshness::default();
         let confirmed_ms = rng.random_range(1..10_000);
         fresh.confirm(confirmed_ms, &mut rng);
-        assert!(fresh.is_stale(confirmed_ms + 1_900, pace));
+        assert!(fresh.is_stale(confirmed_ms + 1_900, schedule));
     }
 }
--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -8,7 +8,7 @@
 
 use crate::decide::refusal::Cause;
 use crate::front::connection::MIN_BUFFER_BYTES;
-use crate::front::listen::{self, Place, Places};
+use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
 use crate::schema::settings::Limits;
 use crate::stats;
 
@@ -39,26 +39,26 @@
 /// Accepts callers for as long as the process runs; `full` is the whole answer to one too many.
 pub(crate) async fn run<F, Fut>(listener: TcpListener, limits: Limits, full: Vec<u8>, serve: F)
 where
-    F: Fn(TcpStream, Place) -> Fut,
+    F: Fn(TcpStream, ConnectionPermit) -> Fut,
     Fut: Future<Output = ()> + 'static,
 {
-    let places = Places::new(max_connections(&limits));
-    let lingering = Places::new(MAX_LINGERING);
+    let permits = ConnectionPermits::new(max_connections(&limits));
+    let lingering = ConnectionPermits::new(MAX_LINGERING);
     loop {
         let stream = listen::accept(&listener, "caller").await;
-        if let Some(place) = places.take() {
-            compio::runtime::spawn(serve(stream, place)).detach();
+        if let Some(permit) = permits.take() {
+            compio::runtime::spawn(serve(stream, permit)).detach();
             continue;
         }
         stats::refused(Cause::ConnectionLimit.into());
-        if let Some(place) = lingering.take() {
-            compio::runtime::spawn(turn_away(stream, full.clone(), place)).detach();
+        if let Some(permit) = lingering.take() {
+            compio::runtime::spawn(turn_away(stream, full.clone(), permit)).detach();
         }
     }
 }
 
 /// Tells a caller at once that no connection is free.
-async fn turn_away(mut stream: TcpStream, full: Vec<u8>, _place: Place) {
+async fn turn_away(mut stream: TcpStream, full: Vec<u8>, _permit: ConnectionPermit) {
     let told = async {
         stream.write_all(full).await.0?;
         linger(&mut stream).await
--- a/src/front/listen.rs
+++ b/src/front/listen.rs
@@ -24,15 +24,15 @@
 
 /// Places for connections of one kind.
 #[derive(Clone)]
-pub(crate) struct Places {
+pub(crate) struct ConnectionPermits {
     taken: Rc<Cell<usize>>,
     max: usize,
 }
 
 /// The place of one open connection, free again when dropped.
-pub(crate) struct Place(Places);
+pub(crate) struct ConnectionPermit(ConnectionPermits);
 
-impl Places {
+impl ConnectionPermits {
     pub(crate) fn new(max: usize) -> Self {
         Self {
             taken: Rc::default(),
@@ -41,17 +41,17 @@
     }
 
     /// A place, unless all are taken.
-    pub(crate) fn take(&self) -> Option<Place> {
+    pub(crate) fn take(&self) -> Option<ConnectionPermit> {
         let taken = self.taken.get();
         if taken >= self.max {
             return None;
         }
         self.taken.set(taken + 1);
-        Some(Place(self.clone()))
+        Some(ConnectionPermit(self.clone()))
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let taken = &self.0.taken;
         taken.set(taken.get() - 1);
--- a/src/front/pages.rs
+++ b/src/front/pages.rs
@@ -13,7 +13,7 @@
 use hyper::service::service_fn;
 
 use crate::front::body::Answer;
-use crate::front::listen::{self, Place, Places};
+use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
 use crate::socket::watch_silence;
 
 /// More callers ask at once only after all of them lost their addresses.
@@ -32,11 +32,11 @@
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     compio::runtime::spawn(async move {
-        let places = Places::new(MAX_CONNECTIONS);
+        let permits = ConnectionPermits::new(MAX_CONNECTIONS);
         loop {
             let stream = listen::accept(&listener, "page connection").await;
-            if let Some(place) = places.take() {
-                compio::runtime::spawn(serve(stream, pages.clone(), place)).detach();
+            if let Some(permit) = permits.take() {
+                compio::runtime::spawn(serve(stream, pages.clone(), permit)).detach();
             }
         }
     })
@@ -44,7 +44,7 @@
     Ok(addr)
 }
 
-async fn serve<P: Page>(stream: TcpStream, pages: Rc<P>, _place: Place) {
+async fn serve<P: Page>(stream: TcpStream, pages: Rc<P>, _permit: ConnectionPermit) {
     watch_silence(&stream);
     let service = service_fn(move |request| {
         let response = pages.page(&request);
--- a/src/gen/peer.rs
+++ b/src/gen/peer.rs
@@ -163,7 +163,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     #[prost(uint64, tag = "1")]
     pub have_offset: u64,
     #[prost(uint64, tag = "2")]
@@ -172,7 +172,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct ConfigGive {
+pub struct ConfigReply {
     #[prost(uint64, tag = "1")]
     pub digest: u64,
     /// Set when it is newer than the asker's.
@@ -232,7 +232,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct LoadBeat {
+pub struct LoadUpdate {
     /// Digest of the upstream's name; every router knows the names from the configuration.
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
@@ -249,7 +249,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct LeavingBeat {
+pub struct LeavingUpdate {
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -270,13 +270,13 @@
     #[prost(message, repeated, tag = "5")]
     pub members: ::prost::alloc::vec::Vec<Member>,
     #[prost(message, repeated, tag = "6")]
-    pub loads: ::prost::alloc::vec::Vec<LoadBeat>,
+    pub loads: ::prost::alloc::vec::Vec<LoadUpdate>,
     #[prost(message, repeated, tag = "7")]
     pub suspicions: ::prost::alloc::vec::Vec<Suspicion>,
     #[prost(message, optional, tag = "8")]
     pub stamp: ::core::option::Option<Stamp>,
     #[prost(message, repeated, tag = "9")]
-    pub leaving: ::prost::alloc::vec::Vec<LeavingBeat>,
+    pub leaving: ::prost::alloc::vec::Vec<LeavingUpdate>,
 }
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -306,7 +306,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct Flight {
+pub struct InFlightCount {
     #[prost(uint32, tag = "1")]
     pub upstream_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -322,7 +322,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Flights {
+pub struct InFlightReport {
     #[prost(string, tag = "1")]
     pub from_host: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
@@ -331,17 +331,17 @@
     #[prost(uint64, tag = "3")]
     pub seq: u64,
     #[prost(message, repeated, tag = "4")]
-    pub flights: ::prost::alloc::vec::Vec<Flight>,
+    pub flights: ::prost::alloc::vec::Vec<InFlightCount>,
     #[prost(message, optional, tag = "5")]
-    pub mark: ::core::option::Option<NewsMark>,
+    pub mark: ::core::option::Option<LogPosition>,
     #[prost(message, repeated, tag = "6")]
-    pub wishes: ::prost::alloc::vec::Vec<Wish>,
+    pub wishes: ::prost::alloc::vec::Vec<ServiceDemand>,
 }
 /// Requests to one service that one router runs and has waiting.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct Wish {
+pub struct ServiceDemand {
     #[prost(uint32, tag = "1")]
     pub service_digest: u32,
     #[prost(uint32, tag = "2")]
@@ -351,7 +351,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsMark {
+pub struct LogPosition {
     #[prost(uint64, tag = "1")]
     pub config_version: u64,
     #[prost(uint32, tag = "2")]
@@ -369,7 +369,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsAsk {
+pub struct LogSyncRequest {
     #[prost(uint64, tag = "1")]
     pub config_version: u64,
     /// 0: everything.
@@ -385,7 +385,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct UpstreamNews {
+pub struct UpstreamChange {
     #[prost(uint64, tag = "1")]
     pub at: u64,
     #[prost(string, tag = "2")]
@@ -398,12 +398,12 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct NewsGive {
+pub struct LogSyncReply {
     /// Empty if the asker has it; deflated.
     #[prost(bytes = "vec", tag = "1")]
     #[serde(with = "serde_bytes")]
     pub config: ::prost::alloc::vec::Vec<u8>,
-    /// What changed: a list of UpstreamNews, deflated. Empty if nothing did.
+    /// What changed: a list of UpstreamChange, deflated. Empty if nothing did.
     #[prost(bytes = "vec", tag = "2")]
     #[serde(with = "serde_bytes")]
     pub changes: ::prost::alloc::vec::Vec<u8>,
@@ -412,7 +412,7 @@
     #[serde(with = "serde_bytes")]
     pub all_upstreams: ::prost::alloc::vec::Vec<u8>,
     #[prost(message, optional, tag = "4")]
-    pub mark: ::core::option::Option<NewsMark>,
+    pub mark: ::core::option::Option<LogPosition>,
     /// The data centres that are evacuated, if the mark's orders_at is beyond the asker's.
     #[prost(string, repeated, tag = "5")]
     pub evacuated: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
@@ -434,18 +434,18 @@
         #[prost(message, tag = "2")]
         Ack(super::Ack),
         #[prost(message, tag = "3")]
-        Flights(super::Flights),
+        Flights(super::InFlightReport),
     }
 }
 /// Asked by a router that starts: every member the other knows of.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct MembersAsk {}
+pub struct MembersRequest {}
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct MembersGive {
+pub struct MembersReply {
     #[prost(message, repeated, tag = "1")]
     pub members: ::prost::alloc::vec::Vec<Member>,
 }
@@ -492,7 +492,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct WarmAsk {
+pub struct WarmRequest {
     #[prost(uint64, tag = "1")]
     pub chat_key: u64,
     #[prost(string, tag = "2")]
@@ -503,7 +503,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct WarmGive {
+pub struct WarmReply {
     #[prost(string, tag = "1")]
     pub upstream: ::prost::alloc::string::String,
     #[prost(uint32, tag = "2")]
@@ -521,7 +521,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     #[prost(string, tag = "1")]
     pub key: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
@@ -542,7 +542,7 @@
     #[prost(message, repeated, tag = "2")]
     pub chats: ::prost::alloc::vec::Vec<WarmChat>,
     #[prost(message, repeated, tag = "3")]
-    pub answers: ::prost::alloc::vec::Vec<KeptAnswer>,
+    pub answers: ::prost::alloc::vec::Vec<StoredAnswer>,
 }
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -552,7 +552,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     #[prost(message, optional, tag = "1")]
     pub claim: ::core::option::Option<super::records::Claim>,
     /// The key's own time.
@@ -562,7 +562,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimGive {
+pub struct ClaimReply {
     #[prost(bool, tag = "1")]
     pub won: bool,
     /// Set when the key has another holder.
@@ -579,7 +579,7 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
-pub struct ClaimNote {
+pub struct ClaimUpdate {
     #[prost(message, optional, tag = "1")]
     pub release: ::core::option::Option<super::records::Release>,
     #[prost(message, optional, tag = "2")]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,10 +16,9 @@
 pub(crate) mod front;
 pub mod log;
 pub(crate) mod logs;
-pub(crate) mod outlet;
+pub(crate) mod mutation;
 pub mod path;
 pub(crate) mod peers;
-pub(crate) mod plant;
 #[path = "../platform/mod.rs"]
 pub(crate) mod platform;
 pub(crate) mod reload;
@@ -30,4 +29,5 @@
 pub mod serve;
 pub(crate) mod socket;
 pub(crate) mod stats;
+pub(crate) mod stdout_writer;
 pub(crate) mod util;
--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::log::Log;
-use crate::log::claims::{self, SLOTS, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, SLOTS, Verdict};
 use crate::log::group::{Group, LogDown, PendingClaim};
-use crate::log::pace::RealTime;
+use crate::log::timer::RealTime;
 use crate::schema::records::Claim;
 use crate::schema::records::claim_record::Body;
 use crate::util::Clock;
@@ -33,7 +33,7 @@
 struct Lookup {
     key: String,
     key_ms: u64,
-    reply: oneshot::Sender<Result<Standing, LogDown>>,
+    reply: oneshot::Sender<Result<KeyStatus, LogDown>>,
 }
 
 /// Settings for the grouping of claims and their retention.
@@ -97,8 +97,8 @@
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn look(&self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
-        let (reply, standing) = oneshot::channel();
+    pub async fn look(&self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
+        let (reply, status) = oneshot::channel();
         let lookup = Lookup {
             key: key.to_owned(),
             key_ms,
@@ -106,7 +106,7 @@
         };
         let sent = self.slot(key).try_send(Msg::Lookup(lookup));
         sent.map_err(|_| LogDown)?;
-        standing.await.unwrap_or(Err(LogDown))
+        status.await.unwrap_or(Err(LogDown))
     }
 
     /// Queues a release or an outcome to be appended with the next group, once the log is up.
@@ -148,9 +148,9 @@
                 self.dispatch(Some(msg), &mut group, &mut lookups);
             }
             for lookup in lookups {
-                let standing = self.group.lookup(&lookup.key, lookup.key_ms).await;
+                let status = self.group.lookup(&lookup.key, lookup.key_ms).await;
                 // The caller may have cancelled.
-                let _ = lookup.reply.send(standing);
+                let _ = lookup.reply.send(status);
             }
             if !self.group.is_down() || self.remaining(PROBE_INTERVAL).is_zero() {
                 self.process(group).await;
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::log::invariant;
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, ClaimRecord, Outcome, Release};
 use crate::util::{self, Name};
@@ -44,7 +44,7 @@
 
 /// The state of a key after the records read so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Standing {
+pub enum KeyStatus {
     /// No claim holds the key.
     #[default]
     Free,
@@ -60,12 +60,12 @@
     /// The claim holds the key: its request may run once.
     Won,
     /// The claim will never hold the key, whose state is this.
-    Lost(Standing),
+    Lost(KeyStatus),
 }
 
 #[derive(Clone, Debug, Default)]
 struct KeyEntry {
-    standing: Standing,
+    status: KeyStatus,
     /// Claims that can't hold the key any more, by claim id.
     ended: HashMap<String, EndReason>,
 }
@@ -97,21 +97,21 @@
     }
 
     /// Returns the state of `key`.
-    pub fn standing(&self, key: &str) -> Standing {
+    pub fn status(&self, key: &str) -> KeyStatus {
         self.keys
             .get(key)
-            .map(|k| k.standing.clone())
+            .map(|k| k.status.clone())
             .unwrap_or_default()
     }
 
     /// Returns the verdict on `claim`, or `None` until it has been read.
     pub fn verdict(&self, claim: &Claim) -> Option<Verdict> {
         let key = self.keys.get(claim.key.as_str())?;
-        match &key.standing {
-            Standing::Held(holder) if holder.id == claim.id => Some(Verdict::Won),
-            standing if key.ended.contains_key(&claim.id) => Some(Verdict::Lost(standing.clone())),
-            Standing::Done(holder, _) if holder.id == claim.id => {
-                Some(Verdict::Lost(key.standing.clone()))
+        match &key.status {
+            KeyStatus::Held(holder) if holder.id == claim.id => Some(Verdict::Won),
+            status if key.ended.contains_key(&claim.id) => Some(Verdict::Lost(status.clone())),
+            KeyStatus::Done(holder, _) if holder.id == claim.id => {
+                Some(Verdict::Lost(key.status.clone()))
             }
             _ => None,
         }
@@ -140,12 +140,12 @@
 
     fn apply_claim(&mut self, claim: Claim, now_ms: u64) {
         let key = self.entry(&claim.key, now_ms);
-        if key.ended.contains_key(&claim.id) && !planted(Plant::ForgetDead) {
+        if key.ended.contains_key(&claim.id) && !mutated(Mutation::ForgetDead) {
             return;
         }
-        match &key.standing {
-            Standing::Free => key.standing = Standing::Held(claim),
-            Standing::Held(holder) | Standing::Done(holder, _) => {
+        match &key.status {
+            KeyStatus::Free => key.status = KeyStatus::Held(claim),
+            KeyStatus::Held(holder) | KeyStatus::Done(holder, _) => {
                 if holder.id != claim.id {
                     key.ended.insert(claim.id, EndReason::Lost);
                 }
@@ -155,9 +155,9 @@
 
     fn apply_release(&mut self, release: &Release, now_ms: u64) {
         let key = self.entry(&release.key, now_ms);
-        match &key.standing {
-            Standing::Held(holder) if holder.id == release.id => key.standing = Standing::Free,
-            Standing::Done(holder, _) => {
+        match &key.status {
+            KeyStatus::Held(holder) if holder.id == release.id => key.status = KeyStatus::Free,
+            KeyStatus::Done(holder, _) => {
                 let ran = holder.id == release.id;
                 invariant(!ran, "a request that ran was released as not run");
                 if ran {
@@ -176,10 +176,10 @@
         // seems to hold the key.
         let released = key.ended.get(&outcome.id) == Some(&EndReason::Released);
         invariant(!released, "a claim that was released has an outcome");
-        if let Standing::Held(holder) = &key.standing
+        if let KeyStatus::Held(holder) = &key.status
             && holder.id == outcome.id
         {
-            key.standing = Standing::Done(holder.clone(), outcome);
+            key.status = KeyStatus::Done(holder.clone(), outcome);
         }
     }
 
@@ -220,7 +220,7 @@
     if key_ms > now_ms + CLOCK_MARGIN_MS {
         return KeyAge::Future;
     }
-    let margin_ms = if planted(Plant::NoMargin) {
+    let margin_ms = if mutated(Mutation::NoMargin) {
         0
     } else {
         2 * CLOCK_MARGIN_MS
--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -11,13 +11,13 @@
 use test_case::test_case;
 use tokio::sync::oneshot;
 
-use crate::log::claims::{self, CLOCK_MARGIN_MS, KeyAge, Standing, Verdict};
+use crate::log::claims::{self, CLOCK_MARGIN_MS, KeyAge, KeyStatus, Verdict};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
 use crate::log::group::{Group, LogDown, PendingClaim};
-use crate::log::pace::{Now, Pace};
 use crate::log::slot;
-use crate::plant::{Plant, planted};
+use crate::log::timer::{Now, Timer};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, Outcome, Release};
 
@@ -175,7 +175,7 @@
     ahead_ms: u64,
 }
 
-impl Pace for FakeClock {
+impl Timer for FakeClock {
     fn now(&self) -> Now {
         let mono_ms = self.now_ms.get();
         Now {
@@ -320,7 +320,7 @@
         if !matches!(request.stage, Stage::New | Stage::Claimed(_)) {
             return;
         }
-        if matches!(request.stage, Stage::Claimed(_)) && !planted(Plant::AskAgain) {
+        if matches!(request.stage, Stage::Claimed(_)) && !mutated(Mutation::AskAgain) {
             let abandoned = Release {
                 id: request.claim.id.clone(),
                 key: request.claim.key.clone(),
@@ -347,14 +347,14 @@
         };
         match verdict {
             Ok(Verdict::Won) => request.stage = Stage::Won,
-            Ok(Verdict::Lost(Standing::Done(_, outcome))) if outcome.status > 0 => {
+            Ok(Verdict::Lost(KeyStatus::Done(_, outcome))) if outcome.status > 0 => {
                 self.oracle.check_stored_answer(request.key, &outcome.body);
                 request.stage = Stage::Ended;
             }
-            Ok(Verdict::Lost(Standing::Held(_) | Standing::Done(..))) => {
+            Ok(Verdict::Lost(KeyStatus::Held(_) | KeyStatus::Done(..))) => {
                 request.stage = Stage::Ended;
             }
-            Ok(Verdict::Lost(Standing::Free)) | Err(LogDown) => self.end_not_run(at),
+            Ok(Verdict::Lost(KeyStatus::Free)) | Err(LogDown) => self.end_not_run(at),
         }
     }
 
@@ -554,12 +554,12 @@
     finds_nothing::<Claims>("claims");
 }
 
-#[test_case(Plant::AskAgain)]
-#[test_case(Plant::ForgetDead)]
-#[test_case(Plant::TrustAppend)]
-#[test_case(Plant::GiveUpSilently)]
-#[test_case(Plant::NeverReadBack)]
-#[test_case(Plant::NoMargin)]
-fn planted_fault_is_found(fault: Plant) {
+#[test_case(Mutation::AskAgain)]
+#[test_case(Mutation::ForgetDead)]
+#[test_case(Mutation::TrustAppend)]
+#[test_case(Mutation::GiveUpSilently)]
+#[test_case(Mutation::NeverReadBack)]
+#[test_case(Mutation::NoMargin)]
+fn planted_fault_is_found(fault: Mutation) {
     finds::<Claims>("claims", fault);
 }
--- a/src/log/config.rs
+++ b/src/log/config.rs
@@ -8,7 +8,7 @@
 
 use crate::log::Entry;
 use crate::log::check::check;
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::config::change::Op;
 use crate::schema::config::record::Body;
 use crate::schema::config::{Change, Record, State};
@@ -99,7 +99,7 @@
         };
         match record.body {
             Some(Body::Change(change)) => self.apply_change(&record.id, change),
-            Some(Body::Snapshot(state)) if planted(Plant::SnapshotWins) => {
+            Some(Body::Snapshot(state)) if mutated(Mutation::SnapshotWins) => {
                 self.state = State {
                     offset: self.state.offset,
                     ..state
@@ -113,7 +113,7 @@
 
     /// Replaces the state by that of a peer or a snapshot if that is newer; returns whether it was.
     pub fn restore(&mut self, state: State) -> bool {
-        let newer = state.offset > self.state.offset || planted(Plant::TakeLower);
+        let newer = state.offset > self.state.offset || mutated(Mutation::TakeLower);
         if newer {
             self.state = state;
         }
@@ -123,7 +123,7 @@
     /// Applies one change by the rules that all readers share.
     pub(crate) fn apply_change(&mut self, id: &str, change: Change) -> Applied {
         let matches = change.against_version == self.state.version;
-        if !matches && !planted(Plant::IgnoreVersion) {
+        if !matches && !mutated(Mutation::IgnoreVersion) {
             return Applied::Raced {
                 version: self.state.version,
                 winner: self.state.last_change.clone(),
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -11,14 +11,14 @@
 
 use crate::log::config::{self, Applied, STREAM};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
-use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, Follower, Standing};
+use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, FollowStatus, Follower};
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
-use crate::log::pace::{Now, Pace};
-use crate::plant::Plant;
+use crate::log::timer::{Now, Timer};
+use crate::mutation::Mutation;
 use crate::schema::config::change::Op;
 use crate::schema::config::record::Body;
 use crate::schema::config::{Change, HostMark, State};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 
 const ROUTERS: u64 = 3;
 const RETENTION_MS: u64 = 1_000;
@@ -149,11 +149,11 @@
 }
 
 impl ConfigPeers for FakePeers {
-    async fn fetch(&self, _: ConfigAsk) -> Option<ConfigGive> {
+    async fn fetch(&self, _: ConfigRequest) -> Option<ConfigReply> {
         let states = self.states.borrow();
         let at = usize::from(self.answer.get()?);
         let state = states.get(at % states.len().max(1))?;
-        Some(ConfigGive {
+        Some(ConfigReply {
             digest: config::digest(state),
             offset: state.offset,
             state: Some(state.clone()),
@@ -163,7 +163,7 @@
 
 struct NoSleep;
 
-impl Pace for NoSleep {
+impl Timer for NoSleep {
     fn now(&self) -> Now {
         Now::default()
     }
@@ -373,7 +373,7 @@
         let end = self.oracle.states.len() as u64 - 1;
         for router in &self.routers {
             let follower = router.follower.as_ref().unwrap();
-            if *follower.standing() == Standing::Current {
+            if *follower.status() == FollowStatus::Current {
                 assert_eq!(follower.state().offset, end, "read to the end");
             }
         }
@@ -447,12 +447,12 @@
     finds_nothing::<Configuration>("config");
 }
 
-#[test_case(Plant::SnapshotWins)]
-#[test_case(Plant::TakeLower)]
-#[test_case(Plant::IgnoreVersion)]
-#[test_case(Plant::LostIsNotApplied)]
-#[test_case(Plant::ApplyOverGap)]
-#[test_case(Plant::LateSnapshot)]
-fn planted_fault_is_found(fault: Plant) {
+#[test_case(Mutation::SnapshotWins)]
+#[test_case(Mutation::TakeLower)]
+#[test_case(Mutation::IgnoreVersion)]
+#[test_case(Mutation::LostIsNotApplied)]
+#[test_case(Mutation::ApplyOverGap)]
+#[test_case(Mutation::LateSnapshot)]
+fn planted_fault_is_found(fault: Mutation) {
     finds::<Configuration>("config", fault);
 }
--- a/src/log/keeper.rs
+++ b/src/log/config_task.rs
@@ -9,11 +9,11 @@
 use crate::event::{Events, Kind};
 use crate::log::Log;
 use crate::log::config::{self, Applied};
-use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, Follower, Standing};
-use crate::log::pace::RealTime;
+use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, FollowStatus, Follower};
+use crate::log::timer::RealTime;
 use crate::log::view::ConfigView;
 use crate::schema::config::{Change, State};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::util::{self, Clock};
 
 /// A snapshot is written after the log's retention divided by this, plus a delay that depends on the
@@ -23,7 +23,7 @@
 type ApplyReply = oneshot::Sender<Result<ApplyOutcome, ApplyError>>;
 
 /// A query for other routers, and the channel for the reply.
-pub type PeerQuestion = (ConfigAsk, oneshot::Sender<Option<ConfigGive>>);
+pub type PeerQuestion = (ConfigRequest, oneshot::Sender<Option<ConfigReply>>);
 
 /// Settings for reading the configuration stream.
 #[derive(Clone, Copy, Debug)]
@@ -36,13 +36,13 @@
 
 /// A handle to the configuration task.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct ConfigHandle {
     tx: mpsc::Sender<(Change, ApplyReply)>,
     view: watch::Receiver<Arc<ConfigView>>,
-    standing: watch::Receiver<Standing>,
+    status: watch::Receiver<FollowStatus>,
 }
 
-impl Keeper {
+impl ConfigHandle {
     /// Starts the task on the current runtime. `host` determines the interval between snapshots, so
     /// that routers don't all write them at the same time. Queries for other routers are sent to the
     /// returned channel.
@@ -57,7 +57,7 @@
         let empty = State::default();
         let digest = config::digest(&empty);
         let (publish, view) = watch::channel(Arc::new(ConfigView::new(empty, digest)));
-        let (publish_standing, standing) = watch::channel(Standing::Starting);
+        let (publish_status, status) = watch::channel(FollowStatus::Starting);
         let task = Task {
             follower: Follower::new(log, PeerQueries(query_tx), RealTime::new(Clock::start())),
             poll: following.poll,
@@ -67,11 +67,11 @@
             events,
             published: (0, 0),
             publish,
-            publish_standing,
+            publish_status,
         };
         compio::runtime::spawn(task.run(rx)).detach();
-        let keeper = Self { tx, view, standing };
-        (keeper, query_rx)
+        let config_handle = Self { tx, view, status };
+        (config_handle, query_rx)
     }
 
     /// Returns a receiver of the configuration in force.
@@ -80,8 +80,8 @@
     }
 
     /// Returns how current the configuration is.
-    pub fn standing(&self) -> Standing {
-        self.standing.borrow().clone()
+    pub fn status(&self) -> FollowStatus {
+        self.status.borrow().clone()
     }
 
     /// Appends `change` and waits until it has been read back.
@@ -117,7 +117,7 @@
 struct PeerQueries(mpsc::Sender<PeerQuestion>);
 
 impl ConfigPeers for PeerQueries {
-    async fn fetch(&self, fetch: ConfigAsk) -> Option<ConfigGive> {
+    async fn fetch(&self, fetch: ConfigRequest) -> Option<ConfigReply> {
         let (reply, answer) = oneshot::channel();
         self.0.send((fetch, reply)).await.ok()?;
         answer.await.ok().flatten()
@@ -135,7 +135,7 @@
     /// Offset and version of the last published state.
     published: (u64, u64),
     publish: watch::Sender<Arc<ConfigView>>,
-    publish_standing: watch::Sender<Standing>,
+    publish_status: watch::Sender<FollowStatus>,
 }
 
 impl<L: Log> Task<L> {
@@ -167,9 +167,9 @@
             let view = ConfigView::new(state.clone(), self.follower.digest());
             self.publish.send_replace(Arc::new(view));
         }
-        let standing = self.follower.standing();
-        if *self.publish_standing.borrow() != *standing {
-            self.publish_standing.send_replace(standing.clone());
+        let status = self.follower.status();
+        if *self.publish_status.borrow() != *status {
+            self.publish_status.send_replace(status.clone());
         }
     }
 
@@ -179,7 +179,7 @@
             self.last_snapshot = Instant::now();
         }
         let due = self.last_snapshot.elapsed() >= self.snapshot_interval;
-        if !due || *self.follower.standing() != Standing::Current {
+        if !due || *self.follower.status() != FollowStatus::Current {
             return;
         }
         match self.follower.write_snapshot().await {
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -1,7 +1,7 @@
 //! Reader and writer of the configuration stream: reads records, appends and confirms changes,
 //! writes snapshots.
 //!
-//! All sleeping goes through [`Pace`], so that tests can suspend any step.
+//! All sleeping goes through [`Timer`], so that tests can suspend any step.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use uuid::Uuid;
 
 use crate::log::config::{self, Applied, ConfigFold, SCHEMA, STREAM};
-use crate::log::pace::Pace;
+use crate::log::timer::Timer;
 use crate::log::{Batch, Entry, Log, LogError, invariant};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::config::record::Body;
 use crate::schema::config::{Change, Record, State};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 
 const READ_MAX: usize = 256;
 const CONFIRM_READS: u32 = 20;
@@ -23,7 +23,7 @@
 /// Fetches the configuration from other routers.
 pub trait ConfigPeers {
     /// Returns one peer's reply, or `None` if no peer replies.
-    fn fetch(&self, fetch: ConfigAsk) -> impl Future<Output = Option<ConfigGive>>;
+    fn fetch(&self, fetch: ConfigRequest) -> impl Future<Output = Option<ConfigReply>>;
 }
 
 /// The result of a change, as reported to the operator.
@@ -55,7 +55,7 @@
 
 /// How current the configuration of a router is.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub enum Standing {
+pub enum FollowStatus {
     /// Nothing has been read yet.
     #[default]
     Starting,
@@ -78,22 +78,22 @@
 pub struct Follower<L, S, P> {
     log: L,
     peers: S,
-    pace: P,
+    timer: P,
     fold: ConfigFold,
-    standing: Standing,
+    status: FollowStatus,
     /// Offset of the newest snapshot read.
     snapshot: Option<u64>,
 }
 
-impl<L: Log, S: ConfigPeers, P: Pace> Follower<L, S, P> {
+impl<L: Log, S: ConfigPeers, P: Timer> Follower<L, S, P> {
     /// Creates a follower that has read nothing.
-    pub fn new(log: L, peers: S, pace: P) -> Self {
+    pub fn new(log: L, peers: S, timer: P) -> Self {
         Self {
             log,
             peers,
-            pace,
+            timer,
             fold: ConfigFold::default(),
-            standing: Standing::Starting,
+            status: FollowStatus::Starting,
             snapshot: None,
         }
     }
@@ -109,8 +109,8 @@
     }
 
     /// Returns how current the state is.
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn status(&self) -> &FollowStatus {
+        &self.status
     }
 
     /// Returns the offset of the newest snapshot read.
@@ -123,11 +123,11 @@
     pub async fn poll(&mut self, on_record: &mut impl FnMut(&Applied, &State)) {
         let read = self.follow(None, on_record).await;
         if let Err(e) = read {
-            self.standing = Standing::LogDown;
+            self.status = FollowStatus::LogDown;
             log::warn!("stream {STREAM} can't be read, keeping the current configuration: {e}");
         }
-        // Not for `Standing::Newer`: a peer with a newer build has no state that this build can read.
-        if matches!(self.standing, Standing::LogDown | Standing::Gap) {
+        // Not for `FollowStatus::Newer`: a peer with a newer build has no state that this build can read.
+        if matches!(self.status, FollowStatus::LogDown | FollowStatus::Gap) {
             self.fetch_from_peer().await;
         }
     }
@@ -147,7 +147,7 @@
         self.follow(None, on_record)
             .await
             .map_err(|e| not_applied(&e))?;
-        if self.standing != Standing::Current {
+        if self.status != FollowStatus::Current {
             return Err(not_applied(
                 &"this router hasn't read the stream to its end",
             ));
@@ -162,7 +162,7 @@
         let id = Uuid::now_v7().to_string();
         match self.append(&id, Body::Change(change)).await {
             Ok(_) => self.confirm(&id, on_record).await,
-            Err(e @ LogError::Indeterminate { .. }) if planted(Plant::LostIsNotApplied) => {
+            Err(e @ LogError::Indeterminate { .. }) if mutated(Mutation::LostIsNotApplied) => {
                 Err(not_applied(&e))
             }
             Err(LogError::Indeterminate { .. }) => self.confirm(&id, on_record).await,
@@ -216,7 +216,7 @@
                 Ok(None) => {}
                 Err(e) => detail = e.to_string(),
             }
-            self.pace.pause(CONFIRM_PAUSE).await;
+            self.timer.pause(CONFIRM_PAUSE).await;
         }
         Err(ApplyError::Unknown { detail })
     }
@@ -232,7 +232,7 @@
             let from = self.fold.next_offset();
             let batch = self.log.read(STREAM, from, READ_MAX).await?;
             if batch.first > from && !self.restore_snapshot(&batch).await? {
-                self.standing = Standing::Gap;
+                self.status = FollowStatus::Gap;
                 return Ok(found);
             }
             if batch.first > from {
@@ -241,7 +241,7 @@
             for entry in &batch.entries {
                 let applied = self.apply_entry(entry, on_record);
                 if let Applied::Newer { schema } = applied {
-                    self.standing = Standing::Newer { schema };
+                    self.status = FollowStatus::Newer { schema };
                     return Ok(found);
                 }
                 let own = id.is_some_and(|id| has_id(&entry.text, id));
@@ -251,7 +251,7 @@
                 }
             }
             if self.fold.next_offset() == from || self.fold.next_offset() >= batch.next {
-                self.standing = Standing::Current;
+                self.status = FollowStatus::Current;
                 return Ok(found);
             }
         }
@@ -278,7 +278,7 @@
     /// state instead would leave out the changes of the expired ones, and no later record would
     /// reveal it.
     async fn restore_snapshot(&mut self, batch: &Batch) -> Result<bool, LogError> {
-        if planted(Plant::ApplyOverGap) {
+        if mutated(Mutation::ApplyOverGap) {
             let state = State {
                 offset: batch.first,
                 ..self.fold.state().clone()
@@ -297,7 +297,7 @@
                 let joined = |s: &State| s.offset >= batch.first && s.offset <= entry.offset;
                 let newer = |s: &State| best.as_ref().is_none_or(|b| s.offset > b.offset);
                 let mut snapshot = snapshot(&entry.text);
-                if planted(Plant::LateSnapshot) {
+                if mutated(Mutation::LateSnapshot) {
                     snapshot.iter_mut().for_each(|s| s.offset = entry.offset);
                 }
                 if let Some(state) = snapshot.filter(joined).filter(newer) {
@@ -314,7 +314,7 @@
 
     /// Fetches a peer's state and takes it if it is newer and matches its digest.
     async fn fetch_from_peer(&mut self) {
-        let fetch = ConfigAsk {
+        let fetch = ConfigRequest {
             have_offset: self.fold.next_offset(),
             have_digest: self.fold.digest(),
         };
--- a/src/log/fuzz_tests.rs
+++ b/src/log/fuzz_tests.rs
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestError, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-use crate::plant::{Plant, plant};
+use crate::mutation::{Mutation, set_mutation};
 
 const CASES: u32 = 40;
 const STEPS: std::ops::Range<usize> = 20..200;
@@ -86,7 +86,7 @@
 {
     let seed = from_env("FUZZ_SEED", SEED);
     let cases = u32::try_from(from_env("FUZZ_CASES", CASES.into())).unwrap();
-    plant(None);
+    set_mutation(None);
     let result = run::<T>(config(cases, seed));
     let steps = STEPS_TAKEN.get();
     println!("fuzz {name}: seed {seed}, {cases} cases, {steps} steps");
@@ -96,20 +96,20 @@
 }
 
 /// Runs the test `name` with `fault` injected and fails if no case does.
-pub(crate) fn finds<T>(name: &str, fault: Plant)
+pub(crate) fn finds<T>(name: &str, fault: Mutation)
 where
     T: StateMachineTest,
     <T::Reference as ReferenceStateMachine>::State: 'static,
     <T::Reference as ReferenceStateMachine>::Transition: 'static,
 {
     let seed = from_env("FUZZ_SEED", SEED);
-    plant(Some(fault));
+    set_mutation(Some(fault));
     let config = Config {
         max_shrink_iters: 8,
         ..config(PLANT_CASES, seed)
     };
     let result = run::<T>(config);
-    plant(None);
+    set_mutation(None);
     let steps = STEPS_TAKEN.get();
     assert!(
         result.is_err(),
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -1,18 +1,18 @@
 //! Processes claims in groups: reads the stream, appends the undecided claims, reads them back and
 //! answers.
 //!
-//! All time comes from [`Pace`], so that tests can suspend any step.
+//! All time comes from [`Timer`], so that tests can suspend any step.
 
 use std::time::Duration;
 
 use snafu::Snafu;
 use tokio::sync::oneshot;
 
-use crate::log::claims::{Standing, Verdict};
-use crate::log::pace::Pace;
+use crate::log::claims::{KeyStatus, Verdict};
 use crate::log::slot::Slot;
+use crate::log::timer::Timer;
 use crate::log::{Log, LogError};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, Release};
 
@@ -49,19 +49,19 @@
 #[derive(Debug)]
 pub struct Group<L, P> {
     slot: Slot<L>,
-    pace: P,
+    timer: P,
     retention_ms: u64,
     /// Releases and outcomes to append.
     queued: Vec<Body>,
     down: bool,
 }
 
-impl<L: Log, P: Pace> Group<L, P> {
+impl<L: Log, P: Timer> Group<L, P> {
     /// Creates a group of which nothing has been read.
-    pub fn new(log: L, stream: String, pace: P, retention_ms: u64) -> Self {
+    pub fn new(log: L, stream: String, timer: P, retention_ms: u64) -> Self {
         Self {
             slot: Slot::new(log, stream),
-            pace,
+            timer,
             retention_ms,
             queued: Vec::new(),
             down: false,
@@ -79,8 +79,8 @@
     }
 
     /// Returns the state of `key` after the records read so far.
-    pub fn standing(&self, key: &str) -> Standing {
-        self.slot.standing(key)
+    pub fn status(&self, key: &str) -> KeyStatus {
+        self.slot.status(key)
     }
 
     /// Queues a release or an outcome to be appended with the next group.
@@ -96,10 +96,10 @@
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn lookup(&mut self, key: &str, key_ms: u64) -> Result<Standing, LogDown> {
-        let pace = &self.pace;
-        match self.slot.ensure_covered(key_ms, || pace.now()).await {
-            Ok(()) => Ok(self.slot.standing(key)),
+    pub async fn lookup(&mut self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
+        let timer = &self.timer;
+        match self.slot.ensure_covered(key_ms, || timer.now()).await {
+            Ok(()) => Ok(self.slot.status(key)),
             Err(e) => {
                 self.refuse_all(&e, Vec::new());
                 Err(LogDown)
@@ -109,12 +109,12 @@
 
     /// Processes one group of claims. Returns whether it appended anything.
     pub async fn process(&mut self, group: Vec<PendingClaim>) -> bool {
-        let mono_ms = self.pace.now().mono_ms;
+        let mono_ms = self.timer.now().mono_ms;
         self.slot.forget(mono_ms.saturating_sub(self.retention_ms));
         if !self.can_append_without_reading(&group) {
             let oldest_ms = group.iter().map(|p| p.key_ms).min().unwrap_or(u64::MAX);
-            let pace = &self.pace;
-            if let Err(e) = self.slot.ensure_covered(oldest_ms, || pace.now()).await {
+            let timer = &self.timer;
+            if let Err(e) = self.slot.ensure_covered(oldest_ms, || timer.now()).await {
                 self.refuse_all(&e, group);
                 return false;
             }
@@ -146,7 +146,7 @@
     /// decides in any case. Not if a key is held by another claim, since it may have been released
     /// or completed in the meantime.
     fn can_append_without_reading(&self, group: &[PendingClaim]) -> bool {
-        let free = |p: &PendingClaim| self.slot.standing(&p.claim.key) == Standing::Free;
+        let free = |p: &PendingClaim| self.slot.status(&p.claim.key) == KeyStatus::Free;
         let covered = |p: &PendingClaim| self.slot.covers(p.key_ms);
         !self.down && group.iter().all(|p| covered(p) && free(p))
     }
@@ -156,11 +156,11 @@
         let mut undecided = Vec::with_capacity(group.len());
         for pending in group {
             let verdict = self.slot.verdict(&pending.claim, pending.key_ms);
-            let standing = self.slot.standing(&pending.claim.key);
-            match (verdict, standing) {
+            let status = self.slot.status(&pending.claim.key);
+            match (verdict, status) {
                 (Some(verdict), _) => pending.answer(Ok(verdict)),
-                (None, Standing::Free) => undecided.push(pending),
-                (None, standing) => pending.answer(Ok(Verdict::Lost(standing))),
+                (None, KeyStatus::Free) => undecided.push(pending),
+                (None, status) => pending.answer(Ok(Verdict::Lost(status))),
             }
         }
         undecided
@@ -168,7 +168,7 @@
 
     /// Reads until every claim is found; abandons those that aren't.
     async fn confirm(&mut self, mut undecided: Vec<PendingClaim>, end: Option<u64>) {
-        if planted(Plant::TrustAppend) && end.is_some() {
+        if mutated(Mutation::TrustAppend) && end.is_some() {
             undecided
                 .into_iter()
                 .for_each(|p| p.answer(Ok(Verdict::Won)));
@@ -179,10 +179,10 @@
         }
         for round in 0..CONFIRM_READS {
             if round > 0 {
-                self.pace.pause(CONFIRM_PAUSE).await;
+                self.timer.pause(CONFIRM_PAUSE).await;
             }
-            let pace = &self.pace;
-            let read = self.slot.catch_up(&|| pace.now()).await;
+            let timer = &self.timer;
+            let read = self.slot.catch_up(&|| timer.now()).await;
             self.down = read.is_err();
             if read.is_err() {
                 continue;
@@ -213,7 +213,7 @@
     /// ineffective even if the claim is appended later, and answers [`LogDown`], so that the claimant
     /// sends nothing.
     fn abandon(&mut self, pending: PendingClaim) {
-        if !planted(Plant::GiveUpSilently) {
+        if !mutated(Mutation::GiveUpSilently) {
             self.enqueue(Body::Release(Release {
                 id: pending.claim.id.clone(),
                 key: pending.claim.key.clone(),
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -11,9 +11,9 @@
 use snafu::Snafu;
 use uuid::Uuid;
 
-use crate::log::pace::Pace;
+use crate::log::timer::Timer;
 use crate::log::{Log, LogError, invariant};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::Lease as Record;
 use crate::util::Name;
 
@@ -80,19 +80,19 @@
 #[derive(Debug)]
 pub struct Lessor<L, P> {
     log: L,
-    pace: P,
+    timer: P,
     host: String,
     next: u64,
     granted: HashMap<Name, Granted>,
 }
 
-impl<L: Log, P: Pace> Lessor<L, P> {
+impl<L: Log, P: Timer> Lessor<L, P> {
     /// Creates a lessor that has read nothing. `host` must be unique to this incarnation: a restarted
     /// host must wait for the lease of its previous incarnation like any other host.
-    pub fn new(log: L, pace: P, host: String) -> Self {
+    pub fn new(log: L, timer: P, host: String) -> Self {
         Self {
             log,
-            pace,
+            timer,
             host,
             next: 0,
             granted: HashMap::new(),
@@ -111,7 +111,7 @@
             taken_over = granted.host != self.host;
             self.check_expired(granted)?;
         }
-        let started_ms = self.pace.now().mono_ms;
+        let started_ms = self.timer.now().mono_ms;
         let record = self.record(upstream, 0);
         let id = record.id.clone();
         let appended = self.append(record).await;
@@ -135,7 +135,7 @@
                 }
                 self.check_expired(granted)?;
             }
-            self.pace.pause(CONFIRM_PAUSE).await;
+            self.timer.pause(CONFIRM_PAUSE).await;
         }
         Err(LeaseError::Unconfirmed)
     }
@@ -151,12 +151,12 @@
 
     /// Whether orders may still be given under `lease`.
     pub fn holds(&self, lease: &Lease) -> bool {
-        self.pace.now().mono_ms < lease.until_ms
+        self.timer.now().mono_ms < lease.until_ms
     }
 
     fn lease(&self, upstream: &Name, fencing: u64, started_ms: u64, taken_over: bool) -> Lease {
-        let from_ms = if planted(Plant::TermFromGrant) {
-            self.pace.now().mono_ms
+        let from_ms = if mutated(Mutation::TermFromGrant) {
+            self.timer.now().mono_ms
         } else {
             started_ms
         };
@@ -170,11 +170,11 @@
 
     /// Fails while the holder of `granted` may still give orders.
     fn check_expired(&self, granted: &Granted) -> Result<(), LeaseError> {
-        if granted.ended || granted.host == self.host || planted(Plant::DontWait) {
+        if granted.ended || granted.host == self.host || mutated(Mutation::DontWait) {
             return Ok(());
         }
         let wait_ms = granted.term_ms + granted.term_ms / DRIFT_DIVISOR + 1;
-        let passed_ms = self.pace.now().mono_ms.saturating_sub(granted.seen_ms);
+        let passed_ms = self.timer.now().mono_ms.saturating_sub(granted.seen_ms);
         if passed_ms >= wait_ms {
             return Ok(());
         }
@@ -233,7 +233,7 @@
         }
         if let Some(granted) = &current {
             let unread = granted.offset >= record.read_to;
-            if unread && !planted(Plant::GrantUnread) {
+            if unread && !mutated(Mutation::GrantUnread) {
                 return;
             }
             invariant(offset > granted.offset, "a fencing number went back");
@@ -244,7 +244,7 @@
             host: record.host,
             term_ms: record.term_ms,
             ended: false,
-            seen_ms: self.pace.now().mono_ms,
+            seen_ms: self.timer.now().mono_ms,
         };
         self.granted.insert(upstream, granted);
     }
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -12,8 +12,8 @@
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
 use crate::log::lease::{Lease, LeaseError, Lessor, TERM_MS};
-use crate::log::pace::{Now, Pace};
-use crate::plant::Plant;
+use crate::log::timer::{Now, Timer};
+use crate::mutation::Mutation;
 use crate::util::Name;
 
 const HOSTS: u64 = 3;
@@ -106,7 +106,7 @@
     per_thousand: u64,
 }
 
-impl Pace for FakeClock {
+impl Timer for FakeClock {
     fn now(&self) -> Now {
         Now {
             wall_ms: 0,
@@ -338,9 +338,9 @@
     finds_nothing::<Leases>("leases");
 }
 
-#[test_case(Plant::GrantUnread)]
-#[test_case(Plant::DontWait)]
-#[test_case(Plant::TermFromGrant)]
-fn planted_fault_is_found(fault: Plant) {
+#[test_case(Mutation::GrantUnread)]
+#[test_case(Mutation::DontWait)]
+#[test_case(Mutation::TermFromGrant)]
+fn planted_fault_is_found(fault: Mutation) {
     finds::<Leases>("leases", fault);
 }
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -9,13 +9,13 @@
 pub mod claimant;
 pub mod claims;
 pub mod config;
+pub mod config_task;
 pub mod follow;
 pub mod group;
-pub mod keeper;
 pub mod lease;
-pub mod pace;
 pub mod platform;
 pub mod slot;
+pub mod timer;
 pub mod view;
 
 #[cfg(test)]
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -7,10 +7,10 @@
 
 use uuid::Uuid;
 
-use crate::log::claims::{CLOCK_MARGIN_MS, Claims, SCHEMA, Standing, Verdict};
-use crate::log::pace::Now;
+use crate::log::claims::{CLOCK_MARGIN_MS, Claims, KeyStatus, SCHEMA, Verdict};
+use crate::log::timer::Now;
 use crate::log::{Batch, Log, LogError};
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, ClaimRecord};
 
@@ -51,8 +51,8 @@
     }
 
     /// Returns the state of `key` after the records read so far.
-    pub fn standing(&self, key: &str) -> Standing {
-        self.claims.standing(key)
+    pub fn status(&self, key: &str) -> KeyStatus {
+        self.claims.status(key)
     }
 
     /// Returns the verdict on `claim` of a key with time `key_ms`, or `None` until the claim and
@@ -148,7 +148,7 @@
     /// Whether every claim that may precede a new one of a key with time `key_ms` has been read,
     /// except those appended since the last read.
     pub fn covers(&self, key_ms: u64) -> bool {
-        planted(Plant::NeverReadBack)
+        mutated(Mutation::NeverReadBack)
             || self.covered_from_ms == 0
             || self.covered_from_ms < earliest_claim_ms(key_ms)
     }
--- a/src/log/pace.rs
+++ b/src/log/timer.rs
@@ -14,7 +14,7 @@
 }
 
 /// The clocks of a host, and sleeping.
-pub trait Pace {
+pub trait Timer {
     /// Reads the clocks.
     fn now(&self) -> Now;
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl Pace for RealTime {
+impl Timer for RealTime {
     fn now(&self) -> Now {
         Now {
             wall_ms: wall_ms(),
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -7,12 +7,12 @@
 use log::{LevelFilter, Record};
 use serde_json::{Map, Value, json};
 
-use crate::outlet::Outlet;
 use crate::schema::settings::Settings;
+use crate::stdout_writer::StdoutWriter;
 use crate::util::wall_ms;
 
-/// Sends logs to `outlet`. A second call changes nothing.
-pub(crate) fn init(settings: &Settings, outlet: Outlet) {
+/// Sends logs to `writer`. A second call changes nothing.
+pub(crate) fn init(settings: &Settings, writer: StdoutWriter) {
     let host = settings.host.clone().unwrap_or_default();
     let dispatch = fern::Dispatch::new()
         .level(LevelFilter::Trace)
@@ -20,7 +20,7 @@
             let line = line(&host.name, &host.data_center, record);
             out.finish(format_args!("{line}"));
         })
-        .chain(Box::new(outlet) as Box<dyn Write + Send>);
+        .chain(Box::new(writer) as Box<dyn Write + Send>);
     // Several routers in one process share the first one's logger.
     let _ = dispatch.apply();
     set_level(settings);
--- a/src/plant.rs
+++ b/src/mutation.rs
@@ -2,7 +2,7 @@
 
 /// One fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Plant {
+pub(crate) enum Mutation {
     /// A released or lost claim isn't remembered, so a late copy of it may hold the key.
     ForgetDead,
     /// A claim whose append was answered counts as won, without reading.
@@ -52,20 +52,20 @@
 
 #[cfg(test)]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(test)]
-pub(crate) fn plant(plant: Option<Plant>) {
-    PLANTED.set(plant);
+pub(crate) fn set_mutation(mutation: Option<Mutation>) {
+    ACTIVE.set(mutation);
 }
 
 #[cfg(test)]
-pub(crate) fn planted(plant: Plant) -> bool {
-    PLANTED.get() == Some(plant)
+pub(crate) fn mutated(mutation: Mutation) -> bool {
+    ACTIVE.get() == Some(mutation)
 }
 
 #[cfg(not(test))]
-pub(crate) const fn planted(_: Plant) -> bool {
+pub(crate) const fn mutated(_: Mutation) -> bool {
     false
 }
--- a/src/outlet_tests.rs
+++ b/src/outlet_tests.rs
@@ -4,12 +4,12 @@
 /// whoever writes them.
 #[test]
 fn lines_without_a_reader_are_dropped_and_counted() {
-    let mut outlet = Outlet::default();
+    let mut writer = StdoutWriter::default();
     let line = [b'x'; 1_000];
     for _ in 0..1_000 {
-        outlet.write_all(&line).unwrap();
+        writer.write_all(&line).unwrap();
     }
-    let waiting = outlet.lock();
+    let waiting = writer.lock();
     assert!(waiting.bytes.len() <= MAX_WAITING_BYTES);
     let kept = waiting.bytes.len() / line.len();
     assert_eq!(waiting.dropped as usize, 1_000 - kept);
--- a/src/path/answer.rs
+++ b/src/path/answer.rs
@@ -43,7 +43,7 @@
             tally.first_byte();
             tally.ended(true);
             let asked = &attempts.asked;
-            asked.path.beliefs.answered_request(asked.fingerprint);
+            asked.path.state.answered_request(asked.fingerprint);
             respond(whole.parts, Answer::whole(whole.body))
         }
         Answered::Stream(reply) => stream(attempts, reply, tally),
@@ -154,7 +154,7 @@
                     reply.ended();
                     self.tally.ended(true);
                     let asked = &self.attempts.asked;
-                    asked.path.beliefs.answered_request(asked.fingerprint);
+                    asked.path.state.answered_request(asked.fingerprint);
                     self.attempts
                         .note(Kind::RequestAnswered, &upstream.id, "stream whole");
                     return Ok(());
@@ -174,12 +174,12 @@
                     let path = &self.attempts.asked.path;
                     let (fingerprint, now_ms) =
                         (self.attempts.asked.fingerprint, path.clock.now_ms());
-                    path.beliefs.failed(&upstream, &why, now_ms);
-                    path.beliefs.lost_answer(&upstream.id, fingerprint, now_ms);
+                    path.state.failed(&upstream, &why, now_ms);
+                    path.state.lost_answer(&upstream.id, fingerprint, now_ms);
                     self.attempts.note(Kind::RequestRetried, &upstream.id, &why);
                 }
             }
-            let may_resume = self.attempts.asked.path.beliefs.decisions().resume;
+            let may_resume = self.attempts.asked.path.state.decisions().resume;
             if !may_resume || !self.attempts.may_run_again() {
                 self.cut(
                     &upstream.id,
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -7,16 +7,16 @@
 use bytes::Bytes;
 use http::request::Parts;
 
-use crate::decide::connections::Share;
-use crate::decide::refusal::{Cause, RunState, spread_ms};
-use crate::decide::spread::{self, Bound, Counts, Placed};
+use crate::decide::connections::ConnectionQuota;
+use crate::decide::refusal::{Cause, RunState, jittered_ms};
+use crate::decide::spread::{self, Bound, Counts, Selection};
 use crate::event::{Kind, chat_name};
 use crate::path::Path;
-use crate::path::beliefs::Tried;
 use crate::path::call::{Call, CallFailed, Caller, Fate, Reply, Whole};
 use crate::path::dialect::{CallHead, CallerHead, Dialect, Records};
 use crate::path::gate::Ticket;
 use crate::path::refusal::Refused;
+use crate::path::router_state::Tried;
 use crate::path::routes::{Account, Route};
 use crate::path::upstreams::Upstream;
 use crate::schema::settings::Decisions;
@@ -123,7 +123,7 @@
                 None => {
                     "answer broke off".clone_into(&mut why);
                     let now_ms = self.asked.path.clock.now_ms();
-                    self.asked.path.beliefs.failed(&upstream, &why, now_ms);
+                    self.asked.path.state.failed(&upstream, &why, now_ms);
                     if !self.may_run_again() {
                         return Err(self.gave_up(Cause::UpstreamFailed, why));
                     }
@@ -144,7 +144,7 @@
                 let detail = format!("no upstream left after {}", self.tried.len());
                 return Err(self.gave_up(self.no_choice(), detail));
             };
-            if self.arrivals > 0 && !self.asked.path.beliefs.take_retry(&self.asked.service) {
+            if self.arrivals > 0 && !self.asked.path.state.take_retry(&self.asked.service) {
                 let detail = "the fleet's retries are used up".to_owned();
                 // Nobody ran it: upstreams turned it away.
                 let cause = if self.runs == 0 {
@@ -158,7 +158,7 @@
                 let routers = self.asked.path.routers();
                 self.asked
                     .path
-                    .beliefs
+                    .state
                     .first_try(&self.asked.service, routers);
             }
             let upstream = choice.upstream.clone();
@@ -172,11 +172,11 @@
                 Err(failed) => failed,
             };
             let now_ms = self.asked.path.clock.now_ms();
-            let beliefs = &self.asked.path.beliefs;
+            let state = &self.asked.path.state;
             match failed.fate {
-                Fate::NotSent => beliefs.unreachable(&upstream.id, now_ms),
-                Fate::Lost => beliefs.lost_answer(&upstream.id, self.asked.fingerprint, now_ms),
-                Fate::Replaced => beliefs.found_replaced(&upstream.id, now_ms),
+                Fate::NotSent => state.unreachable(&upstream.id, now_ms),
+                Fate::Lost => state.lost_answer(&upstream.id, self.asked.fingerprint, now_ms),
+                Fate::Replaced => state.found_replaced(&upstream.id, now_ms),
                 Fate::Rejected => {}
             }
             let fate: &'static str = failed.fate.into();
@@ -210,8 +210,8 @@
 
     /// Why no upstream can be chosen.
     fn no_choice(&self) -> Cause {
-        let (beliefs, share) = (&self.asked.path.beliefs, self.connection_share());
-        if beliefs.is_full(&self.asked.service, share.open) {
+        let (state, share) = (&self.asked.path.state, self.connection_share());
+        if state.is_full(&self.asked.service, share.open) {
             Cause::Full
         } else {
             Cause::NoUpstream
@@ -223,7 +223,7 @@
         let remaining = self.remaining();
         let account = asked.account.as_ref();
         let route = &asked.route;
-        let deployment = asked.path.beliefs.deployment();
+        let deployment = asked.path.state.deployment();
         let account_priority = account.and_then(|a| a.priority);
         let rank = deployment.rank(&asked.service, account_priority, route.priority);
         let head = CallHead {
@@ -243,7 +243,7 @@
             timeout: self.stall().unwrap_or(remaining).min(remaining),
         };
         let caller = Caller {
-            beliefs: &asked.path.beliefs,
+            state: &asked.path.state,
             links: &asked.path.links,
             share: self.connection_share(),
             clock: asked.path.clock,
@@ -255,7 +255,7 @@
     fn stall(&self) -> Option<Duration> {
         let route = &self.asked.route;
         let is_last = self.runs + 1 >= route.max_attempts;
-        let may_ask_elsewhere = self.asked.path.beliefs.decisions().ask_elsewhere;
+        let may_ask_elsewhere = self.asked.path.state.decisions().ask_elsewhere;
         if route.repeat.at_most_once() || is_last || !may_ask_elsewhere {
             return None;
         }
@@ -264,10 +264,9 @@
     }
 
     /// What this router may have open to each upstream of the service.
-    fn connection_share(&self) -> Share {
+    fn connection_share(&self) -> ConnectionQuota {
         let path = &self.asked.path;
-        path.beliefs
-            .connections(&self.asked.service, path.routers())
+        path.state.connections(&self.asked.service, path.routers())
     }
 
     fn choose(&self) -> Option<Choice> {
@@ -278,20 +277,21 @@
             may_return: self.runs > 0,
         };
         let max_open = self.connection_share().open;
-        let beliefs = &asked.path.beliefs;
-        let of_account = asked.account.as_ref().map_or(&None, |a| &a.homes);
-        let homes = [&asked.route.homes, of_account];
-        let (pool, seats) = beliefs.pool(&asked.service, &tried, &homes, max_open, now_ms);
-        let decisions = beliefs.decisions();
+        let state = &asked.path.state;
+        let of_account = asked.account.as_ref().map_or(&None, |a| &a.allowed_regions);
+        let allowed_regions = [&asked.route.allowed_regions, of_account];
+        let (pool, candidates) =
+            state.pool(&asked.service, &tried, &allowed_regions, max_open, now_ms);
+        let decisions = state.decisions();
         let placed = match shared_part(&asked.head.prompt_parts) {
             Some(part) if asked.route.cached_prompts && decisions.part_order => {
-                spread::by_part(part, &seats, bound(decisions))?
+                spread::by_part(part, &candidates, bound(decisions))?
             }
             _ => {
                 let usual_ms = asked.path.gates.usual_ms(&asked.service);
-                let counts = Counts::of_age(beliefs.counts_age_ms(), usual_ms);
-                Placed {
-                    at: spread::by_load(&seats, counts, &mut rand::rng())?,
+                let counts = Counts::of_age(state.counts_age_ms(), usual_ms);
+                Selection {
+                    at: spread::by_load(&candidates, counts, &mut rand::rng())?,
                     source: None,
                 }
             }
@@ -321,7 +321,10 @@
         let (run, retry_after_ms) = if self.runs > 0 {
             (RunState::Unknown, 0)
         } else {
-            (RunState::NotRun, spread_ms(COME_BACK_MS, &mut rand::rng()))
+            (
+                RunState::NotRun,
+                jittered_ms(COME_BACK_MS, &mut rand::rng()),
+            )
         };
         Refused {
             cause,
@@ -351,7 +354,7 @@
     /// What a decision rests on, and how old that is.
     fn grounds(&self) -> String {
         let asked = &self.asked;
-        let mark = asked.path.news.mark();
+        let mark = asked.path.replica.position();
         format!(
             "route {}, service {}, configuration {} read {} ms ago, upstreams at {} read {} ms ago, \
              {} ms left",
--- a/src/path/call.rs
+++ b/src/path/call.rs
@@ -12,10 +12,10 @@
 use hyper::body::Incoming;
 use strum::IntoStaticStr;
 
-use crate::decide::connections::Share;
-use crate::path::beliefs::{Beliefs, Running};
+use crate::decide::connections::ConnectionQuota;
 use crate::path::dialect::{AnswerHead, Dialect};
 use crate::path::link::{self, Link, Links};
+use crate::path::router_state::{RouterState, Running};
 use crate::path::upstreams::Upstream;
 use crate::util::{Clock, Name};
 
@@ -57,7 +57,7 @@
     body: Incoming,
     link: Link,
     links: Links,
-    share: Share,
+    share: ConnectionQuota,
     running: Running,
 }
 
@@ -70,9 +70,9 @@
 
 /// What a request's calls share.
 pub(crate) struct Caller<'a> {
-    pub(crate) beliefs: &'a Rc<Beliefs>,
+    pub(crate) state: &'a Rc<RouterState>,
     pub(crate) links: &'a Links,
-    pub(crate) share: Share,
+    pub(crate) share: ConnectionQuota,
     pub(crate) clock: Clock,
 }
 
@@ -95,7 +95,7 @@
         upstream: Rc<Upstream>,
         call: Call<'_>,
     ) -> Result<Reply, CallFailed> {
-        let running = self.beliefs.run(&upstream, self.clock.now_ms());
+        let running = self.state.run(&upstream, self.clock.now_ms());
         let started = Instant::now();
         let sent = self.send(&upstream, &call).await;
         let now_ms = self.clock.now_ms();
@@ -103,9 +103,9 @@
             Ok(answer) => answer,
             Err(failed) => {
                 if failed.timed_out {
-                    self.beliefs.overran(&upstream, &failed.why, now_ms);
+                    self.state.overran(&upstream, &failed.why, now_ms);
                 } else {
-                    self.beliefs.failed(&upstream, &failed.why, now_ms);
+                    self.state.failed(&upstream, &failed.why, now_ms);
                 }
                 return Err(failed);
             }
@@ -115,21 +115,20 @@
         match checked {
             Ok(()) if !parts.status.is_server_error() => {
                 let took_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-                self.beliefs.answered(&upstream, took_ms, now_ms);
+                self.state.answered(&upstream, took_ms, now_ms);
             }
             Ok(()) if parts.status == StatusCode::GATEWAY_TIMEOUT => {
-                self.beliefs
-                    .overran(&upstream, parts.status.as_str(), now_ms);
+                self.state.overran(&upstream, parts.status.as_str(), now_ms);
             }
-            Ok(()) => self.beliefs.answered_failure(&upstream, now_ms),
+            Ok(()) => self.state.answered_failure(&upstream, now_ms),
             Err(failed) => {
                 if matches!(failed.fate, Fate::Rejected | Fate::Replaced) {
                     self.read_rejection(&upstream, body, link, &parts).await;
                 }
                 if failed.fate == Fate::Rejected {
-                    self.beliefs.overran(&upstream, &failed.why, now_ms);
+                    self.state.overran(&upstream, &failed.why, now_ms);
                 } else {
-                    self.beliefs.failed(&upstream, &failed.why, now_ms);
+                    self.state.failed(&upstream, &failed.why, now_ms);
                 }
                 return Err(failed);
             }
@@ -182,7 +181,7 @@
         upstream: &Upstream,
         call: &Call<'_>,
     ) -> Result<(Parts, Incoming, Link), CallFailed> {
-        let in_use = self.beliefs.running(&upstream.id);
+        let in_use = self.state.running(&upstream.id);
         self.links
             .make_room(&upstream.id, self.share.open.saturating_sub(in_use));
         let opened = link::open(upstream.addr, CONNECT_TIMEOUT.min(call.timeout)).await;
--- a/src/path/callers.rs
+++ b/src/path/callers.rs
@@ -10,7 +10,7 @@
 use crate::decide::refusal::Cause;
 use crate::front::accept;
 use crate::front::connection::{self, Bounds};
-use crate::front::listen::Place;
+use crate::front::listen::ConnectionPermit;
 use crate::path::dialect::{Dialect, Records};
 use crate::path::refusal::Refused;
 use crate::path::routes::CallerLimits;
@@ -38,14 +38,18 @@
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     let full = Refused::not_run(Cause::ConnectionLimit, FULL_RETRY_MS, accept::FULL);
-    let serve = move |stream, place| serve(stream, path.clone(), place);
+    let serve = move |stream, permit| serve(stream, path.clone(), permit);
     compio::runtime::spawn(accept::run(listener, limits, full.raw::<D>(), serve)).detach();
     Ok(addr)
 }
 
-async fn serve<D: Dialect + Records>(stream: TcpStream, path: Rc<Path<D>>, _place: Place) {
+async fn serve<D: Dialect + Records>(
+    stream: TcpStream,
+    path: Rc<Path<D>>,
+    _permit: ConnectionPermit,
+) {
     watch_silence(&stream);
-    let bounds = bounds(&path.beliefs.deployment().limits);
+    let bounds = bounds(&path.state.deployment().limits);
     let drain = path.drain.clone();
     let handle = move |request| request::handle(path.clone(), request);
     connection::serve(stream, bounds, drain, handle).await;
--- a/src/path/changes.rs
+++ b/src/path/changes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::schema::peer::UpstreamNews;
+use crate::schema::peer::UpstreamChange;
 
 /// Changes that are kept; a router that missed more is told everything. A start of thousands of upstreams
 /// within seconds stays below: with fewer kept, each router is told everything, again and again. They take a megabyte.
@@ -11,7 +11,7 @@
 /// Changes in the order of the log.
 #[derive(Debug, Default)]
 pub(super) struct Changes {
-    kept: VecDeque<UpstreamNews>,
+    kept: VecDeque<UpstreamChange>,
     /// Changes up to this offset are not kept.
     after: u64,
 }
@@ -23,7 +23,7 @@
         self.kept.clear();
     }
 
-    pub(super) fn push(&mut self, change: UpstreamNews) {
+    pub(super) fn push(&mut self, change: UpstreamChange) {
         self.kept.push_back(change);
         if self.kept.len() > MAX_CHANGES
             && let Some(forgotten) = self.kept.pop_front()
@@ -33,7 +33,7 @@
     }
 
     /// What changed after offset `at`; nothing if not all of that is kept.
-    pub(super) fn since(&self, at: u64) -> Option<Vec<UpstreamNews>> {
+    pub(super) fn since(&self, at: u64) -> Option<Vec<UpstreamChange>> {
         if at == 0 || at < self.after {
             return None;
         }
--- a/src/path/reading.rs
+++ b/src/path/cursor.rs
@@ -26,7 +26,7 @@
 
 /// What a reader asks a keyed stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ask {
+pub(crate) enum ReadRange {
     /// The newest record of every key.
     All,
     /// What came from this offset on.
@@ -35,24 +35,24 @@
 
 /// How far one reader has read one stream.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct StreamCursor {
     next: Option<u64>,
     /// The records that would come next were deleted.
     is_expired: bool,
 }
 
-impl Reading {
+impl StreamCursor {
     /// What to ask next, where others told everything up to offset `told`: reading that again would
     /// bring only old news.
     ///
     /// Failure guarded against: records expire unread, and a reader that asks for them again gets the
     /// same refusal for ever, at the speed of the network.
-    pub(crate) fn ask(&self, told: u64) -> Ask {
+    pub(crate) fn ask(&self, told: u64) -> ReadRange {
         let known = self.next.map(|next| next.max(told));
         let known = known.or((told > 0).then_some(told));
         match known {
-            Some(from) if !self.is_expired => Ask::From(from),
-            _ => Ask::All,
+            Some(from) if !self.is_expired => ReadRange::From(from),
+            _ => ReadRange::All,
         }
     }
 
--- a/src/path/evacuations.rs
+++ b/src/path/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::util::Name;
 
 /// Evacuated data centres, as of one offset of the stream that operators write.
@@ -39,7 +39,7 @@
     /// Takes the record before offset `at`; tells whether it changed anything. An older one than what is known is left
     /// out: read late, it would bring back what another took back.
     pub fn set(&mut self, at: u64, data_center: &str, evacuated: bool) -> bool {
-        if at <= self.at && !planted(Plant::TakeOldOrders) {
+        if at <= self.at && !mutated(Mutation::TakeOldOrders) {
             return false;
         }
         self.at = at.max(self.at);
--- a/src/path/gate.rs
+++ b/src/path/gate.rs
@@ -7,13 +7,13 @@
 
 use tokio::sync::oneshot;
 
-use crate::decide::admission::{Admission, Ask, Offer, Ready, Room};
+use crate::decide::admission::{Admission, AdmissionRequest, Offer, Quota, Ready};
 use crate::decide::allowance;
 use crate::decide::refusal::Refusal;
 use crate::decide::{Job, JobId};
 use crate::fleet::loads::digest;
-use crate::path::beliefs::Beliefs;
-use crate::schema::peer::Wish;
+use crate::path::router_state::RouterState;
+use crate::schema::peer::ServiceDemand;
 use crate::stats;
 use crate::util::{Clock, Name};
 
@@ -32,7 +32,7 @@
     admission: Admission,
     waiting: HashMap<JobId, oneshot::Sender<Verdict>>,
     /// As of the last telling; `None` if the upstreams don't say how much they run.
-    places: Option<f64>,
+    slots_open: Option<f64>,
     others: Vec<u32>,
 }
 
@@ -73,13 +73,13 @@
         objective_ms: u64,
     ) -> Result<Ticket, Refusal> {
         let id = job.id;
-        let ask = Ask { job, objective_ms };
+        let ask = AdmissionRequest { job, objective_ms };
         let now_ms = self.clock.now_ms();
         let verdict = {
             let mut gates = self.gates.borrow_mut();
             let gate = gates.entry(service.clone()).or_default();
-            let room = gate.room();
-            match gate.admission.offer(ask, room, now_ms, &mut rand::rng()) {
+            let quota = gate.quota();
+            match gate.admission.offer(ask, quota, now_ms, &mut rand::rng()) {
                 Offer::Start => None,
                 Offer::Refused(refusal) => return Err(refusal),
                 Offer::Wait => {
@@ -110,18 +110,18 @@
 
     /// Takes how many places there are and what others want, and lets in who may start now. Returns
     /// what the others are to be told.
-    pub(crate) fn refresh(&self, beliefs: &Beliefs) -> Vec<Wish> {
+    pub(crate) fn refresh(&self, state: &RouterState) -> Vec<ServiceDemand> {
         let now_ms = self.clock.now_ms();
         let mut wishes = Vec::new();
         for (service, gate) in self.gates.borrow_mut().iter_mut() {
-            let places = beliefs.places(service, now_ms);
-            gate.places = places.map(|p| f64::from(p) * gate.admission.fill());
-            gate.others = beliefs.wishes_of_others(service);
+            let slots_open = state.slots_open(service, now_ms);
+            gate.slots_open = slots_open.map(|p| f64::from(p) * gate.admission.fill());
+            gate.others = state.demands_of_others(service);
             gate.poll(now_ms);
-            let wanted = gate.admission.wanted();
+            let wanted = gate.admission.demand();
             if wanted > 0 {
                 let service_digest = digest(service);
-                wishes.push(Wish {
+                wishes.push(ServiceDemand {
                     service_digest,
                     wanted,
                 });
@@ -143,11 +143,11 @@
             let wanted_by_others: u32 = gate.others.iter().sum();
             format!(
                 "{} wanted here, {} of them waiting, {} allowed, {wanted_by_others} wanted by {} others, {:.0} places",
-                gate.admission.wanted(),
+                gate.admission.demand(),
                 gate.admission.waiting(),
-                gate.room().allowed,
+                gate.quota().allowed,
                 gate.others.len(),
-                gate.places.unwrap_or(0.0),
+                gate.slots_open.unwrap_or(0.0),
             )
         })
     }
@@ -163,10 +163,10 @@
 }
 
 impl Gate {
-    fn room(&self) -> Room {
-        match self.places {
-            Some(places) => allowance::room(places, self.admission.wanted(), &self.others),
-            None => Room {
+    fn quota(&self) -> Quota {
+        match self.slots_open {
+            Some(slots_open) => allowance::quota(slots_open, self.admission.demand(), &self.others),
+            None => Quota {
                 allowed: u32::MAX,
                 has_spare: true,
             },
@@ -177,8 +177,8 @@
         if self.waiting.is_empty() {
             return;
         }
-        let room = self.room();
-        while let Some(ready) = self.admission.poll(room, now_ms, &mut rand::rng()) {
+        let quota = self.quota();
+        while let Some(ready) = self.admission.poll(quota, now_ms, &mut rand::rng()) {
             let (id, verdict) = match ready {
                 Ready::Start(id) => (id, Ok(())),
                 Ready::Refused(id, refusal) => (id, Err(refusal)),
--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::ejection::{Change, DEFAULT_SHARE, Ejector};
 use crate::decide::grey::{Outcomes, grey};
-use crate::fleet::flights::Told;
+use crate::fleet::in_flight::UpstreamTotals;
 use crate::fleet::loads::digest;
 use crate::path::upstreams::Upstream;
 use crate::util::Name;
@@ -145,7 +145,7 @@
     pub(crate) fn judge(
         &mut self,
         pool: &[Rc<Upstream>],
-        told: &HashMap<u32, Told>,
+        told: &HashMap<u32, UpstreamTotals>,
         now_ms: u64,
     ) -> Vec<(Name, f64)> {
         let Some(first) = pool.first() else {
--- a/src/path/health_tests.rs
+++ b/src/path/health_tests.rs
@@ -3,9 +3,9 @@
 
 use super::health::Health;
 use super::upstreams::Upstream;
-use crate::decide::ejection::{Change, FAILURES, HOLD_MS};
+use crate::decide::ejection::{Change, EJECTION_MS, FAILURES};
 use crate::decide::grey::Outcomes;
-use crate::fleet::flights::Told;
+use crate::fleet::in_flight::UpstreamTotals;
 use crate::fleet::loads::digest;
 use crate::util::Name;
 
@@ -38,14 +38,17 @@
         assert_eq!(health.failed(&pool[0], &names, 0), Change::None);
     }
     assert_eq!(health.failed(&pool[0], &names, 0), Change::Ejected);
-    assert!(health.is_out(&pool[0], HOLD_MS - 1));
-    assert!(!health.is_out(&pool[0], HOLD_MS));
-    health.begin(&pool[0], HOLD_MS);
-    assert!(health.is_out(&pool[0], HOLD_MS + 1), "the probe is out");
-    let answered = health.answered(&pool[0], 20, &names, HOLD_MS + 20);
+    assert!(health.is_out(&pool[0], EJECTION_MS - 1));
+    assert!(!health.is_out(&pool[0], EJECTION_MS));
+    health.begin(&pool[0], EJECTION_MS);
+    assert!(health.is_out(&pool[0], EJECTION_MS + 1), "the probe is out");
+    let answered = health.answered(&pool[0], 20, &names, EJECTION_MS + 20);
     assert_eq!(answered, Change::Restored);
-    assert_eq!(health.failed(&pool[0], &names, HOLD_MS + 30), Change::None);
-    assert!(!health.is_out(&pool[0], HOLD_MS + 31));
+    assert_eq!(
+        health.failed(&pool[0], &names, EJECTION_MS + 30),
+        Change::None
+    );
+    assert!(!health.is_out(&pool[0], EJECTION_MS + 31));
 }
 
 /// This router saw one failure of an upstream, the others some more: together they are a share that
@@ -61,7 +64,7 @@
     assert!(health.judge(&pool, &HashMap::new(), 0).is_empty());
     let mut outcomes = Outcomes::default();
     outcomes.add(6, 3, 0);
-    let told = Told {
+    let told = UpstreamTotals {
         running: 0.0,
         outcomes,
     };
@@ -108,8 +111,8 @@
         1,
         "the others fail none"
     );
-    health.begin(&pool[0], HOLD_MS);
-    health.answered_failure(&pool[0], &names, HOLD_MS + 1);
-    assert!(health.is_out(&pool[0], HOLD_MS + 2));
-    assert!(health.is_out(&pool[0], 2 * HOLD_MS));
+    health.begin(&pool[0], EJECTION_MS);
+    health.answered_failure(&pool[0], &names, EJECTION_MS + 1);
+    assert!(health.is_out(&pool[0], EJECTION_MS + 2));
+    assert!(health.is_out(&pool[0], 2 * EJECTION_MS));
 }
--- a/src/path/link.rs
+++ b/src/path/link.rs
@@ -15,7 +15,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use snafu::{ResultExt, Snafu};
 
-use crate::decide::connections::Share;
+use crate::decide::connections::ConnectionQuota;
 use crate::socket::watch_silence;
 use crate::util::Name;
 
@@ -74,7 +74,13 @@
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub(crate) fn keep(&self, upstream: &Name, link: Link, answer: &HeaderMap, share: Share) {
+    pub(crate) fn keep(
+        &self,
+        upstream: &Name,
+        link: Link,
+        answer: &HeaderMap,
+        share: ConnectionQuota,
+    ) {
         let now = Instant::now();
         let Some(timeout) = idle_timeout(answer) else {
             return;
--- a/src/path/news.rs
+++ b/src/path/log_replica.rs
@@ -1,7 +1,7 @@
 //! What the platform's log says, as far as this router knows: read from it, or told by another.
 
 mod orders;
-mod told;
+mod sync;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -11,15 +11,15 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use crate::fleet::news::{Freshness, Pace};
-use crate::path::beliefs::Beliefs;
+use crate::fleet::log_reads::{Freshness, ReadSchedule};
+use crate::mutation::{Mutation, mutated};
 use crate::path::changes::Changes;
+use crate::path::cursor::Record;
 use crate::path::dialect::Records;
-use crate::path::reading::Record;
+use crate::path::router_state::RouterState;
 use crate::path::suspend::SuspendGuard;
 use crate::peers::packed;
-use crate::plant::{Plant, planted};
-use crate::schema::peer::UpstreamNews;
+use crate::schema::peer::UpstreamChange;
 use crate::util::{Clock, Name};
 
 /// Silence of the log for which entries of upstreams lapse: three of their writes.
@@ -30,9 +30,9 @@
 
 /// When to read which stream of the log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Paces {
-    pub(crate) config: Pace,
-    pub(crate) upstreams: Pace,
+pub(crate) struct ReadSchedules {
+    pub(crate) config: ReadSchedule,
+    pub(crate) upstreams: ReadSchedule,
 }
 
 /// What was packed, and the offset that it is as of.
@@ -43,10 +43,10 @@
 }
 
 /// Configuration and upstreams with what other routers need of them.
-pub(crate) struct News<D> {
-    beliefs: Rc<Beliefs>,
+pub(crate) struct LogReplica<D> {
+    state: Rc<RouterState>,
     clock: Clock,
-    paces: Cell<Paces>,
+    schedules: Cell<ReadSchedules>,
     /// The configuration in force as other routers are told it.
     packed_config: RefCell<Bytes>,
     packed_upstreams: RefCell<Packed>,
@@ -66,12 +66,12 @@
     records: PhantomData<D>,
 }
 
-impl<D: Records> News<D> {
-    pub(crate) fn new(beliefs: Rc<Beliefs>, clock: Clock, paces: Paces) -> Self {
+impl<D: Records> LogReplica<D> {
+    pub(crate) fn new(state: Rc<RouterState>, clock: Clock, schedules: ReadSchedules) -> Self {
         Self {
-            beliefs,
+            state,
             clock,
-            paces: Cell::new(paces),
+            schedules: Cell::new(schedules),
             packed_config: RefCell::default(),
             packed_upstreams: RefCell::default(),
             config_fresh: Cell::default(),
@@ -92,9 +92,9 @@
     /// Looks at the clock; if this router was suspended, all that it knows is stale.
     pub(crate) fn look(&self) {
         if self.suspend.look() {
-            self.config_fresh.set(self.config_fresh.get().doubted());
+            self.config_fresh.set(self.config_fresh.get().invalidated());
             self.upstreams_fresh
-                .set(self.upstreams_fresh.get().doubted());
+                .set(self.upstreams_fresh.get().invalidated());
         }
     }
 
@@ -113,7 +113,7 @@
         match D::deployment(&record) {
             Ok(deployment) => {
                 let version = deployment.version;
-                if self.beliefs.configure(deployment) {
+                if self.state.configure(deployment) {
                     self.pack_config(&record);
                     log::info!("configuration {version} in force, from {source}");
                     self.notify_loaded();
@@ -143,9 +143,9 @@
     /// Whether both configuration and upstreams were loaded since the start of this router, or there are none.
     pub(crate) fn is_loaded(&self) -> bool {
         let has_config =
-            self.beliefs.deployment().version > 0 || self.config_fresh.get().confirmed_ms() > 0;
+            self.state.deployment().version > 0 || self.config_fresh.get().confirmed_ms() > 0;
         let has_upstreams =
-            self.beliefs.upstreams_known() > 0 || self.upstreams_fresh.get().confirmed_ms() > 0;
+            self.state.upstreams_known() > 0 || self.upstreams_fresh.get().confirmed_ms() > 0;
         has_config && has_upstreams
     }
 
@@ -189,12 +189,12 @@
     /// Another knows more of the upstreams than it can tell: this router reads the log at once.
     fn read_anew(&self) {
         self.upstreams_fresh
-            .set(self.upstreams_fresh.get().doubted());
+            .set(self.upstreams_fresh.get().invalidated());
     }
 
     /// Whether the log, which is in reach, is about to tell this router what others can't.
     pub(crate) fn awaits_log(&self) -> bool {
-        self.upstreams_fresh.get().is_doubted() && !self.log_fails.get()
+        self.upstreams_fresh.get().is_invalidated() && !self.log_fails.get()
     }
 
     /// Whether this router's last read of the log failed.
@@ -210,12 +210,12 @@
     }
 
     /// When to read what.
-    pub(crate) fn paces(&self) -> Paces {
-        self.paces.get()
+    pub(crate) fn schedules(&self) -> ReadSchedules {
+        self.schedules.get()
     }
 
-    pub(crate) fn set_paces(&self, paces: Paces) {
-        self.paces.set(paces);
+    pub(crate) fn set_schedules(&self, schedules: ReadSchedules) {
+        self.schedules.set(schedules);
     }
 
     /// The offset up to which the upstreams are those of the log; 0 if nothing is known.
@@ -232,7 +232,7 @@
             return;
         }
         // What was written and dropped again since the last read is in nobody's changes here.
-        if !planted(Plant::KeepChangesOverGap) {
+        if !mutated(Mutation::KeepChangesOverGap) {
             self.start_at(end);
         }
         self.is_bulk.set(true);
@@ -255,7 +255,7 @@
         self.look();
         self.returned();
         for (at, record) in (from + 1..).zip(records) {
-            if at > self.upstreams_at.get() || planted(Plant::TakeOldRecords) {
+            if at > self.upstreams_at.get() || mutated(Mutation::TakeOldRecords) {
                 self.record(at, record);
             }
         }
@@ -278,26 +278,26 @@
         };
         let draining = upstream.draining;
         let started_ms = upstream.started_ms;
-        let before_ms = self.beliefs.started_ms(id);
+        let before_ms = self.state.started_ms(id);
         // Its host's clock may have stepped back between the two: any other time is another start. Zero isn't known.
         let is_other = |before_ms| before_ms != started_ms && before_ms > 0 && started_ms > 0;
         let is_restart = before_ms.is_some_and(is_other);
-        let is_new = !self.beliefs.knows_upstream(id) && self.upstreams_at.get() > 0;
+        let is_new = !self.state.knows_upstream(id) && self.upstreams_at.get() > 0;
         self.missing.borrow_mut().remove(id);
         let now_ms = self.clock.now_ms();
         let told = upstream.clone();
-        let is_change = self.beliefs.change_upstreams(|u| u.put(upstream));
+        let is_change = self.state.change_upstreams(|u| u.put(upstream));
         let was_listed = self.upstreams.borrow().contains_key(id);
         if !is_change && was_listed {
             return;
         }
-        self.beliefs.told_cold(&told, now_ms);
+        self.state.report_cold(&told, now_ms);
         if is_restart {
             log::info!("upstream {id} started again");
-            self.beliefs.restarted(&id.into(), now_ms);
+            self.state.restarted(&id.into(), now_ms);
         }
         if is_new || is_restart {
-            self.beliefs.joined(id, now_ms);
+            self.state.joined(id, now_ms);
         }
         if !self.is_bulk.get() {
             log::info!("upstream {id} is there, draining: {draining}, offset {at}");
@@ -317,7 +317,8 @@
     pub(crate) fn returned(&self) {
         let now_ms = self.clock.now_ms();
         let silence_ms = self.upstreams_fresh.get().age_ms(now_ms);
-        if self.upstreams_at.get() > 0 && silence_ms > LAPSE_MS && !planted(Plant::DoubtNothing) {
+        if self.upstreams_at.get() > 0 && silence_ms > LAPSE_MS && !mutated(Mutation::DoubtNothing)
+        {
             log::info!("news of upstreams again after {silence_ms} ms");
             self.doubt_until_ms.set(now_ms + RETURN_SLACK_MS);
         }
@@ -329,7 +330,7 @@
             return;
         }
         let in_doubt = self.clock.now_ms() < self.doubt_until_ms.get();
-        if !(in_doubt && planted(Plant::HoldRemovalsBack)) {
+        if !(in_doubt && mutated(Mutation::HoldRemovalsBack)) {
             self.changed(at, id, Bytes::new());
         }
         if in_doubt {
@@ -350,11 +351,11 @@
     }
 
     fn gone(&self, at: u64, id: &str) {
-        if self.beliefs.change_upstreams(|u| u.remove(id)) {
+        if self.state.change_upstreams(|u| u.remove(id)) {
             if !self.is_bulk.get() {
                 log::info!("upstream {id} is gone, offset {at}");
             }
-            self.beliefs.found_dead(id, self.clock.now_ms());
+            self.state.found_dead(id, self.clock.now_ms());
         }
     }
 
@@ -364,7 +365,7 @@
     /// fleet that starts together writes as many lines as it has pairs of router and upstream.
     fn took_all(&self, source: &str) {
         self.is_bulk.set(false);
-        let known = self.beliefs.upstreams_known();
+        let known = self.state.upstreams_known();
         let missing = self.missing.borrow().len();
         let offset = self.upstreams_at.get();
         log::info!(upstreams = known, missing, offset, source; "all upstreams taken");
@@ -381,7 +382,7 @@
 
     fn changed(&self, at: u64, id: &str, record: Bytes) {
         self.upstreams_at.set(at.max(self.upstreams_at.get()));
-        self.changes.borrow_mut().push(UpstreamNews {
+        self.changes.borrow_mut().push(UpstreamChange {
             at,
             id: id.to_owned(),
             record: record.into(),
@@ -391,7 +392,7 @@
 
 /// What tests hold against the log.
 #[cfg(test)]
-impl<D: Records> News<D> {
+impl<D: Records> LogReplica<D> {
     /// The entries known to be listed, by id, and whether each drains.
     pub(super) fn listed(&self) -> std::collections::BTreeMap<String, bool> {
         let upstreams = self.upstreams.borrow();
--- a/src/path/news/orders.rs
+++ b/src/path/log_replica/orders.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeSet;
 
+use crate::path::cursor::Order;
 use crate::path::dialect::Records;
-use crate::path::news::News;
-use crate::path::reading::Order;
+use crate::path::log_replica::LogReplica;
 use crate::util::Name;
 
-impl<D: Records> News<D> {
+impl<D: Records> LogReplica<D> {
     /// The offset up to which configuration and evacuations are those of the log; 0 if nothing is known.
     pub(crate) fn orders_at(&self) -> u64 {
-        self.beliefs.evacuations().at()
+        self.state.evacuations().at()
     }
 
     /// What operators wrote from offset `from` on: all there was at `seen_ms`, by a read that was asked for at
@@ -21,7 +21,7 @@
         for (at, order) in (from + 1..).zip(orders) {
             self.order(at, order);
         }
-        self.beliefs.change_evacuations(|e| e.read_to(end));
+        self.state.change_evacuations(|e| e.read_to(end));
         self.confirm_config(seen_ms);
         self.suspend.told_anew(asked_ms);
     }
@@ -52,7 +52,7 @@
             Order::Other => return,
         };
         if self
-            .beliefs
+            .state
             .change_evacuations(|e| e.set(at, &data_center, is_evacuated))
         {
             log::info!(data_center:%, evacuated = is_evacuated, offset = at; "evacuation from the store");
@@ -60,11 +60,8 @@
     }
 
     pub(super) fn take_evacuated(&self, at: u64, evacuated: BTreeSet<Name>, source: &str) {
-        if self
-            .beliefs
-            .change_evacuations(|e| e.replace(at, evacuated))
-        {
-            let evacuations = self.beliefs.evacuations();
+        if self.state.change_evacuations(|e| e.replace(at, evacuated)) {
+            let evacuations = self.state.evacuations();
             let names: Vec<&str> = evacuations.names().map(|n| &**n).collect();
             let evacuated = names.join(",");
             log::info!(evacuated, offset = at, source; "evacuations");
--- a/src/path/news/told.rs
+++ b/src/path/log_replica/sync.rs
@@ -5,11 +5,11 @@
 
 use bytes::Bytes;
 
-use crate::fleet::news::Freshness;
+use crate::fleet::log_reads::Freshness;
 use crate::path::dialect::Records;
-use crate::path::news::News;
+use crate::path::log_replica::LogReplica;
 use crate::peers::{frames, packed};
-use crate::schema::peer::{NewsAsk, NewsGive, NewsMark, UpstreamNews};
+use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest, UpstreamChange};
 use crate::util::Name;
 
 /// The age of upstreams that the giver knows more of than it tells.
@@ -17,13 +17,13 @@
 /// The age of what the giver doesn't know at all: older than any clock, so that it confirms nothing.
 const UNKNOWN_MS: u32 = u32::MAX - 1;
 
-impl<D: Records> News<D> {
+impl<D: Records> LogReplica<D> {
     /// How much is known here.
-    pub(crate) fn mark(&self) -> NewsMark {
+    pub(crate) fn position(&self) -> LogPosition {
         let now_ms = self.clock.now_ms();
         let age = |fresh: &Cell<Freshness>| age_ms(fresh.get(), now_ms);
-        NewsMark {
-            config_version: self.beliefs.deployment().version,
+        LogPosition {
+            config_version: self.state.deployment().version,
             config_age_ms: age(&self.config_fresh),
             upstreams_at: self.upstreams_at.get(),
             upstreams_age_ms: age(&self.upstreams_fresh),
@@ -32,14 +32,14 @@
     }
 
     /// Whether a router with this mark knows more.
-    pub(crate) fn is_behind(&self, mark: &NewsMark) -> bool {
-        mark.config_version > self.beliefs.deployment().version
+    pub(crate) fn is_behind(&self, mark: &LogPosition) -> bool {
+        mark.config_version > self.state.deployment().version
             || mark.upstreams_at > self.upstreams_at.get()
             || mark.orders_at > self.orders_at()
     }
 
     /// Another router's mark, as it came in passing.
-    pub(crate) fn heard(&self, mark: &NewsMark) {
+    pub(crate) fn heard(&self, mark: &LogPosition) {
         if !self.needs_refresh() {
             self.confirm(mark, self.clock.now_ms());
         }
@@ -47,10 +47,10 @@
 
     /// What another router knew at `told_ms`: if that is no more than is known here, what it confirmed
     /// holds here too.
-    fn confirm(&self, mark: &NewsMark, told_ms: u64) {
+    fn confirm(&self, mark: &LogPosition, told_ms: u64) {
         let at = |age_ms: u32| told_ms.saturating_sub(age_ms.into());
         let has_orders = mark.orders_at == self.orders_at();
-        if has_orders && mark.config_version == self.beliefs.deployment().version {
+        if has_orders && mark.config_version == self.state.deployment().version {
             self.confirm_config(at(mark.config_age_ms));
         }
         if mark.upstreams_at == self.upstreams_at.get() {
@@ -59,17 +59,17 @@
     }
 
     /// What an asker doesn't know yet.
-    pub(crate) fn give(&self, ask: &NewsAsk) -> NewsGive {
-        let has_newer = self.beliefs.deployment().version > ask.config_version;
+    pub(crate) fn give(&self, ask: &LogSyncRequest) -> LogSyncReply {
+        let has_newer = self.state.deployment().version > ask.config_version;
         let missed = self.changes.borrow().since(ask.upstreams_at);
         if missed.is_none() && !ask.takes_all {
             return self.give_config_alone(ask, has_newer);
         }
-        let mut give = NewsGive {
+        let mut give = LogSyncReply {
             config: self.packed_config(has_newer),
-            mark: Some(self.mark()),
+            mark: Some(self.position()),
             evacuated: self.evacuated(ask),
-            ..NewsGive::default()
+            ..LogSyncReply::default()
         };
         let Some(changes) = missed else {
             give.all_upstreams = self.packed_upstreams();
@@ -92,17 +92,17 @@
     /// Failure guarded against: hundreds of routers start at once while upstreams come and go. Each keeps the changes since
     /// its own read alone, so those that read earlier would be given all upstreams again and again by those that read
     /// later, over links that callers need. The log gives them the few changes that they miss.
-    fn give_config_alone(&self, ask: &NewsAsk, has_newer: bool) -> NewsGive {
-        let mark = NewsMark {
+    fn give_config_alone(&self, ask: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
+        let mark = LogPosition {
             upstreams_at: ask.upstreams_at,
             upstreams_age_ms: UNTOLD_MS,
-            ..self.mark()
+            ..self.position()
         };
-        NewsGive {
+        LogSyncReply {
             config: self.packed_config(has_newer),
             mark: Some(mark),
             evacuated: self.evacuated(ask),
-            ..NewsGive::default()
+            ..LogSyncReply::default()
         }
     }
 
@@ -114,8 +114,8 @@
         }
     }
 
-    fn evacuated(&self, ask: &NewsAsk) -> Vec<String> {
-        let evacuations = self.beliefs.evacuations();
+    fn evacuated(&self, ask: &LogSyncRequest) -> Vec<String> {
+        let evacuations = self.state.evacuations();
         if evacuations.at() <= ask.orders_at {
             return Vec::new();
         }
@@ -138,17 +138,17 @@
 
     fn pack_upstreams(&self) -> Vec<u8> {
         let upstreams = self.upstreams.borrow();
-        let news = |(id, record): (&Name, &Bytes)| UpstreamNews {
+        let change = |(id, record): (&Name, &Bytes)| UpstreamChange {
             at: self.upstreams_at.get(),
             id: id.to_string(),
             record: record.to_vec(),
         };
-        let all: Vec<UpstreamNews> = upstreams.iter().map(news).collect();
+        let all: Vec<UpstreamChange> = upstreams.iter().map(change).collect();
         pack(&all)
     }
 
     /// Takes what another router gave when it was asked at `asked_ms`.
-    pub(crate) fn take(&self, give: NewsGive, source: &str, asked_ms: u64) {
+    pub(crate) fn take(&self, give: LogSyncReply, source: &str, asked_ms: u64) {
         self.look();
         let mark = give.mark.unwrap_or_default();
         if !give.config.is_empty() {
@@ -170,15 +170,15 @@
     }
 
     /// Tells whether what was given could be read.
-    fn take_upstreams(&self, give: NewsGive, at: u64, source: &str) -> bool {
+    fn take_upstreams(&self, give: LogSyncReply, at: u64, source: &str) -> bool {
         let is_all = !give.all_upstreams.is_empty();
         let packed = if is_all {
             &give.all_upstreams
         } else {
             &give.changes
         };
-        let news = match unpack(packed) {
-            Ok(news) => news,
+        let changes = match unpack(packed) {
+            Ok(changes) => changes,
             Err(e) => {
                 log::error!("upstreams from {source} can't be unpacked: {e}");
                 return false;
@@ -186,15 +186,15 @@
         };
         self.returned();
         if is_all {
-            self.take_all(news, at, source);
+            self.take_all(changes, at, source);
         } else {
-            self.take_changes(news);
+            self.take_changes(changes);
             self.upstreams_at.set(at);
         }
         true
     }
 
-    fn take_all(&self, all: Vec<UpstreamNews>, at: u64, source: &str) {
+    fn take_all(&self, all: Vec<UpstreamChange>, at: u64, source: &str) {
         self.is_bulk.set(true);
         self.start_at(at);
         let there: HashSet<&str> = all.iter().map(|u| u.id.as_str()).collect();
@@ -207,12 +207,12 @@
         self.took_all(source);
     }
 
-    fn take_changes(&self, changes: Vec<UpstreamNews>) {
-        for news in changes {
-            if news.record.is_empty() {
-                self.remove(news.at, &news.id);
+    fn take_changes(&self, changes: Vec<UpstreamChange>) {
+        for change in changes {
+            if change.record.is_empty() {
+                self.remove(change.at, &change.id);
             } else {
-                self.put(news.at, &news.id, news.record.into());
+                self.put(change.at, &change.id, change.record.into());
             }
         }
     }
@@ -226,8 +226,8 @@
     u32::try_from(fresh.age_ms(now_ms)).map_or(UNKNOWN_MS, |ms| ms.min(UNKNOWN_MS))
 }
 
-fn pack(news: &Vec<UpstreamNews>) -> Vec<u8> {
-    let listed = frames::to_vec(news).map_err(|e| e.to_string());
+fn pack(changes: &Vec<UpstreamChange>) -> Vec<u8> {
+    let listed = frames::to_vec(changes).map_err(|e| e.to_string());
     let packed = listed.and_then(|listed| packed::pack(&listed).map_err(|e| e.to_string()));
     packed
         .inspect_err(|e| log::error!("upstreams can't be told: {e}"))
@@ -235,7 +235,7 @@
         .to_vec()
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<UpstreamNews>, String> {
+fn unpack(packed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
     if packed.is_empty() {
         return Ok(Vec::new());
     }
