--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -3,27 +3,27 @@
 //! Read in the order of a request's way: `callers` holds the connection, `request` checks it
 //! and finds its route and account, `gate` holds it until its service has room, `attempts` picks upstreams until one answers, `call` sends
 //! it there over a `link`, `answer` passes the answer on and picks it up where it breaks off.
-//! [`routes`], [`upstreams`] and `beliefs` are what it reads; a [`dialect`] knows the names of
+//! [`routes`], [`upstreams`] and `state` are what it reads; a [`dialect`] knows the names of
 //! the headers.
 
 pub(crate) mod answer;
 pub(crate) mod attempts;
-pub(crate) mod beliefs;
 pub(crate) mod call;
 pub(crate) mod callers;
 mod changes;
+pub(crate) mod cursor;
 pub mod dialect;
 pub mod evacuations;
 pub mod events;
 pub(crate) mod gate;
 pub(crate) mod health;
 pub(crate) mod link;
-pub(crate) mod news;
+pub(crate) mod log_replica;
 pub(crate) mod peers;
-pub(crate) mod reading;
 pub(crate) mod refusal;
 pub mod regions;
 pub(crate) mod request;
+pub(crate) mod router_state;
 pub mod routes;
 pub(crate) mod stop;
 pub(crate) mod suspects;
@@ -57,22 +57,22 @@
 use tokio::sync::watch;
 
 use crate::event::Events;
-use crate::fleet::flights::{self, TELL_MS};
 use crate::fleet::gossip::Gossip;
+use crate::fleet::in_flight::{self, REPORT_INTERVAL_MS};
 use crate::fleet::member::{Member, MemberState, View};
 use crate::front::Drain;
-use crate::path::beliefs::Beliefs;
 use crate::path::dialect::Records;
 use crate::path::gate::Gates;
 use crate::path::link::Links;
-use crate::path::news::News;
+use crate::path::log_replica::LogReplica;
+use crate::path::router_state::RouterState;
 use crate::stats;
 use crate::util::{Clock, Name};
 
 /// Until then a router may not have heard of the others yet.
 pub(crate) const SETTLE_MS: u64 = 3_000;
 /// How often the other routers are told what runs here.
-const TELL: Duration = Duration::from_millis(TELL_MS);
+const TELL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
 /// How often what belongs to gone upstreams is thrown away, in tellings.
 const SWEEP_TELLINGS: u32 = 10;
 
@@ -87,8 +87,8 @@
 
 /// What the tasks of the path share.
 pub(crate) struct Path<D> {
-    pub(crate) beliefs: Rc<Beliefs>,
-    pub(crate) news: News<D>,
+    pub(crate) state: Rc<RouterState>,
+    pub(crate) replica: LogReplica<D>,
     pub(crate) gates: Rc<Gates>,
     pub(crate) links: Links,
     pub(crate) clock: Clock,
@@ -112,7 +112,7 @@
 
     /// How many routers can reach one another here, this one among them.
     pub(crate) fn reachable_routers(&self) -> usize {
-        flights::reachable(self.gossip.flights().heard, self.routers())
+        in_flight::reachable(self.gossip.in_flight().heard, self.routers())
     }
 
     /// Where other routers reach `host`.
@@ -130,7 +130,7 @@
         }
         let fleet = self.fleet.borrow();
         let hosts: Vec<Name> = fleet.members.iter().map(|m| m.host.clone()).collect();
-        self.beliefs.assign_cold(&self.host, &hosts, now_ms);
+        self.state.assign_cold(&self.host, &hosts, now_ms);
     }
 
     /// Where callers of `entry` should connect: routers that take work, in a random order, at most `max`.
@@ -139,12 +139,15 @@
     /// request that starts elsewhere would leave its homes before any of them has a say.
     pub(crate) fn entry_addrs(&self, entry: &Entry<'_>, max: usize) -> Vec<Name> {
         let fleet = self.fleet.borrow();
-        let deployment = self.beliefs.deployment();
-        let homes = entry.name.map_or_else(Vec::new, |n| deployment.homes(n));
-        let regions = self.beliefs.regions();
+        let deployment = self.state.deployment();
+        let allowed_regions = entry
+            .name
+            .map_or_else(Vec::new, |n| deployment.allowed_regions(n));
+        let regions = self.state.regions();
         let is_stopping = self.drain.is_stopping();
         let open = |m: &&Member| m.takes_work() && !(is_stopping && m.host == self.host);
-        let may_start = |m: &&Member| regions.may_start(entry.region, &homes, &m.data_center);
+        let may_start =
+            |m: &&Member| regions.may_start(entry.region, &allowed_regions, &m.data_center);
         let open = fleet.members.iter().filter(open).filter(may_start);
         open.map(|m| m.caller_addr.clone())
             .choose_multiple(&mut rand::rng(), max)
@@ -155,10 +158,10 @@
         if self.drain.is_stopping() {
             return Some("a planned stop is under way");
         }
-        if self.beliefs.deployment().version == 0 {
+        if self.state.deployment().version == 0 {
             return Some("no configuration yet");
         }
-        if self.beliefs.upstreams_known() == 0 {
+        if self.state.upstreams_known() == 0 {
             return Some("no upstream yet");
         }
         None
@@ -170,18 +173,19 @@
     let mut tellings = 0_u32;
     loop {
         compio::time::sleep(TELL).await;
-        let wishes = path.gates.refresh(&path.beliefs);
-        path.beliefs.tell_running(wishes, path.news.mark());
+        let wishes = path.gates.refresh(&path.state);
+        path.state
+            .publish_in_flight(wishes, path.replica.position());
         tellings = tellings.wrapping_add(1);
-        path.news.look();
-        path.news.settle();
-        path.beliefs.hear_suspicions(path.clock.now_ms());
-        path.beliefs.judge(path.clock.now_ms());
+        path.replica.look();
+        path.replica.settle();
+        path.state.merge_suspicions(path.clock.now_ms());
+        path.state.judge(path.clock.now_ms());
         path.assign_cold();
         if tellings.is_multiple_of(SWEEP_TELLINGS) {
-            path.links.sweep(|id| path.beliefs.knows_upstream(id));
-            path.beliefs.sweep();
-            stats::upstreams_known(path.beliefs.upstreams_known());
+            path.links.sweep(|id| path.state.knows_upstream(id));
+            path.state.sweep();
+            stats::upstreams_known(path.state.upstreams_known());
         }
     }
 }
--- a/src/path/news_fake_tests.rs
+++ b/src/path/news_fake_tests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::path::reading::{Ask, Order, Record};
+use crate::path::cursor::{Order, ReadRange, Record};
 use crate::util::Name;
 
 /// Three writes of an upstream: entries lapse after so long an outage.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Answer<T> {
     All(Vec<T>, u64),
-    News(u64, Vec<T>),
+    Changes(u64, Vec<T>),
     Expired,
 }
 
@@ -157,33 +157,33 @@
     }
 
     /// What operators wrote, to a reader.
-    pub(super) fn answer_orders(&self, ask: Ask) -> Answer<Order> {
+    pub(super) fn answer_orders(&self, ask: ReadRange) -> Answer<Order> {
         let end = self.orders.len();
         match ask {
-            Ask::All => {
+            ReadRange::All => {
                 let version = self.newest_version(u64::MAX).to_string();
                 let evacuated = self.evacuated(end).into_iter().map(Order::Evacuate);
                 let config = std::iter::once(Order::Configure(version.into()));
                 Answer::All(config.chain(evacuated).collect(), end as u64)
             }
-            Ask::From(from) => {
+            ReadRange::From(from) => {
                 let at = usize::try_from(from).unwrap();
                 if at < self.first_order_kept {
                     return Answer::Expired;
                 }
-                let news = self.orders.get(at..).unwrap_or_default().iter();
-                Answer::News(from, news.map(|(_, order)| order.clone()).collect())
+                let records = self.orders.get(at..).unwrap_or_default().iter();
+                Answer::Changes(from, records.map(|(_, order)| order.clone()).collect())
             }
         }
     }
 
-    pub(super) fn answer(&self, ask: Ask) -> Answer<Record> {
+    pub(super) fn answer(&self, ask: ReadRange) -> Answer<Record> {
         let record = |w: &Written| Record {
             key: w.id.clone(),
             value: w.entry.map(encode),
         };
         match ask {
-            Ask::All => {
+            ReadRange::All => {
                 let entries = self.entries(self.log.len()).into_iter();
                 let records = entries.map(|(key, entry)| Record {
                     key,
@@ -191,13 +191,13 @@
                 });
                 Answer::All(records.collect(), self.log.len() as u64)
             }
-            Ask::From(from) => {
+            ReadRange::From(from) => {
                 let at = usize::try_from(from).unwrap();
                 if at < self.first_kept {
                     return Answer::Expired;
                 }
-                let news = self.log.get(at..).unwrap_or_default();
-                Answer::News(from, news.iter().map(record).collect())
+                let records = self.log.get(at..).unwrap_or_default();
+                Answer::Changes(from, records.iter().map(record).collect())
             }
         }
     }
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/news_fleet_tests.rs
@@ -8,15 +8,15 @@
 use rand::seq::index;
 use test_case::test_case;
 
+use super::cursor::Order;
 use super::news_tests::Router;
-use super::reading::Order;
-use crate::schema::peer::NewsAsk;
+use crate::schema::peer::LogSyncRequest;
 use crate::util::Clock;
 
 /// Each router tells so many others, drawn anew.
 const TOLD: usize = 16;
 const TICK_MS: u64 = 20;
-const TELL_MS: u64 = 200;
+const REPORT_INTERVAL_MS: u64 = 200;
 const READERS: usize = 3;
 /// How long an asker waits for an answer.
 const ASK_LIMIT_MS: u64 = 1_000;
@@ -74,19 +74,19 @@
         let now_ms = self.now_ms();
         let readers = self.hosts[..READERS].iter().filter(|h| !h.is_dead);
         for reader in readers {
-            let news = &reader.router.news;
-            news.read_orders(news.orders_at(), orders.to_vec(), now_ms, now_ms);
+            let replica = &reader.router.replica;
+            replica.read_orders(replica.orders_at(), orders.to_vec(), now_ms, now_ms);
         }
     }
 
     /// One router tells its mark; those that know less ask it, one question at a time.
     fn tell(&mut self, from: usize) {
-        let mark = self.hosts[from].router.news.mark();
+        let mark = self.hosts[from].router.replica.position();
         let told = TOLD.min(self.hosts.len());
         for to in index::sample(&mut self.rng, self.hosts.len(), told) {
             let host = &self.hosts[to];
             let is_free = to != from && !host.is_dead && host.asked.is_none();
-            if is_free && host.router.news.is_behind(&mark) {
+            if is_free && host.router.replica.is_behind(&mark) {
                 self.ask(to, from);
             }
         }
@@ -95,8 +95,8 @@
     /// The answer waits for all that the peer's link already carries.
     fn ask(&mut self, at: usize, peer: usize) {
         let now_ms = self.now_ms();
-        let has = self.hosts[at].router.beliefs.deployment().version;
-        let given = self.hosts[peer].router.beliefs.deployment().version;
+        let has = self.hosts[at].router.state.deployment().version;
+        let given = self.hosts[peer].router.state.deployment().version;
         let bytes = if given > has { self.config_bytes } else { 0 };
         let link = &mut self.hosts[peer].busy_until_ms;
         *link = now_ms.max(*link) + bytes / LINK_BYTES_PER_MS;
@@ -122,15 +122,15 @@
         if !is_in {
             return;
         }
-        let news = &self.hosts[at].router.news;
-        let ask = NewsAsk {
-            config_version: self.hosts[at].router.beliefs.deployment().version,
-            upstreams_at: news.upstreams_at(),
+        let replica = &self.hosts[at].router.replica;
+        let ask = LogSyncRequest {
+            config_version: self.hosts[at].router.state.deployment().version,
+            upstreams_at: replica.upstreams_at(),
             takes_all: false,
-            orders_at: news.orders_at(),
+            orders_at: replica.orders_at(),
         };
-        let give = self.hosts[peer].router.news.give(&ask);
-        news.take(give, "a peer", asked_ms);
+        let give = self.hosts[peer].router.replica.give(&ask);
+        replica.take(give, "a peer", asked_ms);
     }
 
     fn tick(&mut self) {
@@ -141,7 +141,7 @@
             }
             self.take(at);
             // Each tells at a time of its own.
-            if (now_ms / TICK_MS + at as u64).is_multiple_of(TELL_MS / TICK_MS) {
+            if (now_ms / TICK_MS + at as u64).is_multiple_of(REPORT_INTERVAL_MS / TICK_MS) {
                 self.tell(at);
             }
         }
@@ -150,9 +150,9 @@
     /// How long until all that live know all that the first reader knows; `None` if that takes over 10 s.
     fn spread_ms(&mut self) -> Option<u64> {
         let began_ms = self.now_ms();
-        let wanted = self.hosts[0].router.news.mark();
+        let wanted = self.hosts[0].router.replica.position();
         while self.now_ms() < began_ms + 10_000 {
-            let knows = |h: &Host| h.is_dead || !h.router.news.is_behind(&wanted);
+            let knows = |h: &Host| h.is_dead || !h.router.replica.is_behind(&wanted);
             if self.hosts.iter().all(knows) {
                 return Some(self.now_ms() - began_ms);
             }
@@ -192,7 +192,7 @@
         spread_ms.is_some_and(|ms| ms <= SPREAD_BOUND_MS),
         "{spread_ms:?}"
     );
-    let evacuated = |h: &Host| h.router.beliefs.evacuations().holds("dc-2");
+    let evacuated = |h: &Host| h.router.state.evacuations().holds("dc-2");
     assert!(fleet.hosts.iter().all(|h| h.is_dead || evacuated(h)));
 }
 
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -8,9 +8,9 @@
 use test_case::test_case;
 
 use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::mutation::Mutation;
 use crate::path::news_fake_tests::Tell;
 use crate::path::news_world_tests::{ROUTERS, SLEPT_MS, World, host};
-use crate::plant::Plant;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -133,13 +133,13 @@
     finds_nothing::<Fleet>("beliefs");
 }
 
-#[test_case(Plant::BelieveOldMarks)]
-#[test_case(Plant::KeepChangesOverGap)]
-#[test_case(Plant::TakeOldRecords)]
-#[test_case(Plant::TakeOlderVersion)]
-#[test_case(Plant::TakeOldOrders)]
-#[test_case(Plant::DoubtNothing)]
-#[test_case(Plant::HoldRemovalsBack)]
-fn planted_fault_is_found(fault: Plant) {
+#[test_case(Mutation::BelieveOldMarks)]
+#[test_case(Mutation::KeepChangesOverGap)]
+#[test_case(Mutation::TakeOldRecords)]
+#[test_case(Mutation::TakeOlderVersion)]
+#[test_case(Mutation::TakeOldOrders)]
+#[test_case(Mutation::DoubtNothing)]
+#[test_case(Mutation::HoldRemovalsBack)]
+fn planted_fault_is_found(fault: Mutation) {
     finds::<Fleet>("beliefs", fault);
 }
--- a/src/path/news_tests.rs
+++ b/src/path/news_tests.rs
@@ -1,14 +1,14 @@
-use super::beliefs::{Beliefs, RetryLimit};
 use super::changes::MAX_CHANGES;
+use super::cursor::Order;
 use super::dialect::Records;
-use super::news::{News, Paces};
-use super::reading::Order;
+use super::log_replica::{LogReplica, ReadSchedules};
 use super::regions::Regions;
+use super::router_state::{RetryLimit, RouterState};
 use super::routes::{Deployment, Draft};
 use super::upstreams::Upstream;
 use crate::fleet::gossip::Gossip;
-use crate::fleet::news::Pace;
-use crate::schema::peer::NewsAsk;
+use crate::fleet::log_reads::ReadSchedule;
+use crate::schema::peer::LogSyncRequest;
 use crate::util::Clock;
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -50,8 +50,8 @@
 }
 
 pub(super) struct Router {
-    pub(super) beliefs: Rc<Beliefs>,
-    pub(super) news: News<Plain>,
+    pub(super) state: Rc<RouterState>,
+    pub(super) replica: LogReplica<Plain>,
 }
 
 impl Router {
@@ -65,35 +65,36 @@
             burst: 10.0,
         };
         let (gossip, _, _) = Gossip::open();
-        let beliefs = Rc::new(Beliefs::new(
+        let state = Rc::new(RouterState::new(
             limit,
             "north".into(),
             Regions::default(),
             gossip,
         ));
-        let paces = Paces {
-            config: Pace::within(2_000.0),
-            upstreams: Pace::within(2_000.0),
+        let schedules = ReadSchedules {
+            config: ReadSchedule::within(2_000.0),
+            upstreams: ReadSchedule::within(2_000.0),
         };
-        let news = News::new(beliefs.clone(), clock, paces);
-        Self { beliefs, news }
+        let replica = LogReplica::new(state.clone(), clock, schedules);
+        Self { state, replica }
     }
 
     /// Asks `other` as routers do.
     fn learn_from(&self, other: &Self) {
-        let ask = NewsAsk {
-            config_version: self.beliefs.deployment().version,
-            upstreams_at: self.news.upstreams_at(),
+        let ask = LogSyncRequest {
+            config_version: self.state.deployment().version,
+            upstreams_at: self.replica.upstreams_at(),
             takes_all: true,
-            orders_at: self.news.orders_at(),
+            orders_at: self.replica.orders_at(),
         };
-        let asked_ms = self.news.now_ms();
-        self.news.take(other.news.give(&ask), "other", asked_ms);
+        let asked_ms = self.replica.now_ms();
+        self.replica
+            .take(other.replica.give(&ask), "other", asked_ms);
     }
 }
 
 fn put(router: &Router, at: u64, id: &str) {
-    router.news.put(at, id, Bytes::from_static(b"ready"));
+    router.replica.put(at, id, Bytes::from_static(b"ready"));
 }
 
 /// A reader was cut off from the log for long. Back again, it doubts that an upstream whose entry went
@@ -108,14 +109,14 @@
     }
     // Its silence is as old as its clock, which is far over the limit.
     std::thread::sleep(Duration::from_millis(3_100));
-    other.news.confirm_upstreams(3_000);
-    reader.news.returned();
-    reader.news.remove(3, "i-1");
+    other.replica.confirm_upstreams(3_000);
+    reader.replica.returned();
+    reader.replica.remove(3, "i-1");
     put(&reader, 4, "i-3");
-    assert!(reader.beliefs.knows_upstream("i-1"), "in doubt");
+    assert!(reader.state.knows_upstream("i-1"), "in doubt");
     other.learn_from(&reader);
-    assert!(!other.beliefs.knows_upstream("i-1"));
-    assert!(other.beliefs.knows_upstream("i-3"));
+    assert!(!other.state.knows_upstream("i-1"));
+    assert!(other.state.knows_upstream("i-3"));
 }
 
 /// A router missed more changes than are kept: it is told everything, and what it knew beyond that is
@@ -131,9 +132,9 @@
         put(&reader, at, &format!("i-{at}"));
     }
     other.learn_from(&reader);
-    assert!(!other.beliefs.knows_upstream("i-old"));
-    assert_eq!(other.beliefs.upstreams_known(), MAX_CHANGES + 99);
-    assert_eq!(other.news.upstreams_at(), last);
+    assert!(!other.state.knows_upstream("i-old"));
+    assert_eq!(other.state.upstreams_known(), MAX_CHANGES + 99);
+    assert_eq!(other.replica.upstreams_at(), last);
 }
 
 /// Routers that start at once must not take one another's empty state for fresh news: none would read the log when its first read fails.
@@ -144,10 +145,10 @@
         Router::with_clock(clock_at(500)),
         Router::with_clock(clock_at(900)),
     );
-    early.news.heard(&late.news.mark());
+    early.replica.heard(&late.replica.position());
     early.learn_from(&late);
-    assert_eq!(early.news.config_confirmed_ms(), 0);
-    assert_eq!(early.news.upstreams_confirmed_ms(), 0);
+    assert_eq!(early.replica.config_confirmed_ms(), 0);
+    assert_eq!(early.replica.upstreams_confirmed_ms(), 0);
 }
 
 /// A router that starts while the log is away must not hold requests once a peer has given it everything, however old that is.
@@ -158,15 +159,15 @@
         Router::with_clock(clock_at(40_000)),
         Router::with_clock(clock_at(500)),
     );
-    old.news.configure(Bytes::from_static(b"3"), "a test");
+    old.replica.configure(Bytes::from_static(b"3"), "a test");
     put(&old, 1, "i-1");
-    old.news.confirm_config(10_000);
-    old.news.confirm_upstreams(10_000);
-    let settled = new.news.load_settled();
+    old.replica.confirm_config(10_000);
+    old.replica.confirm_upstreams(10_000);
+    let settled = new.replica.load_settled();
     let mut wait = pin!(settled.notified());
     assert!(!wait.as_mut().enable());
     new.learn_from(&old);
-    assert!(new.news.is_loaded());
+    assert!(new.replica.is_loaded());
     assert!(wait.now_or_never().is_some());
 }
 
@@ -174,10 +175,10 @@
 #[test]
 fn failing_log_ends_the_wait_for_the_first_load() {
     let router = Router::new();
-    let settled = router.news.load_settled();
+    let settled = router.replica.load_settled();
     let mut wait = pin!(settled.notified());
     assert!(!wait.as_mut().enable());
-    router.news.set_log_fails(true);
+    router.replica.set_log_fails(true);
     assert!(wait.now_or_never().is_some());
 }
 
@@ -185,12 +186,16 @@
 #[test]
 fn older_version_is_not_taken_from_a_peer() {
     let (ahead, behind) = (Router::new(), Router::new());
-    behind.news.configure(Bytes::from_static(b"3"), "the store");
-    ahead.news.configure(Bytes::from_static(b"7"), "the store");
+    behind
+        .replica
+        .configure(Bytes::from_static(b"3"), "the store");
+    ahead
+        .replica
+        .configure(Bytes::from_static(b"7"), "the store");
     ahead.learn_from(&behind);
-    assert_eq!(ahead.beliefs.deployment().version, 7);
+    assert_eq!(ahead.state.deployment().version, 7);
     behind.learn_from(&ahead);
-    assert_eq!(behind.beliefs.deployment().version, 7);
+    assert_eq!(behind.state.deployment().version, 7);
 }
 
 /// An upstream crashes and starts again under its id, and its host's clock steps back in between: by the times that it
@@ -201,11 +206,11 @@
 fn upstream_that_starts_again_is_new_by_any_clock(started: &str) {
     let router = Router::new();
     let ready = |started: &str| Bytes::from(format!("ready@{started}"));
-    router.news.put(1, "i-1", ready("5000"));
-    router.beliefs.found_replaced(&"i-1".into(), 10);
-    assert_eq!(router.beliefs.places("s", 20), None);
-    router.news.put(2, "i-1", ready(started));
-    assert_eq!(router.beliefs.places("s", 20), Some(1));
+    router.replica.put(1, "i-1", ready("5000"));
+    router.state.found_replaced(&"i-1".into(), 10);
+    assert_eq!(router.state.slots_open("s", 20), None);
+    router.replica.put(2, "i-1", ready(started));
+    assert_eq!(router.state.slots_open("s", 20), Some(1));
 }
 
 /// A router that started a little earlier hears of one that read more of the log, which keeps no change from before its
@@ -218,24 +223,26 @@
     put(&earlier, 4, "i-1");
     put(&later, 6, "i-1");
     put(&later, 6, "i-2");
-    later.news.start_at(7);
-    later.news.configure(Bytes::from_static(b"7"), "the store");
-    let ask = NewsAsk {
+    later.replica.start_at(7);
+    later
+        .replica
+        .configure(Bytes::from_static(b"7"), "the store");
+    let ask = LogSyncRequest {
         config_version: 0,
         upstreams_at: 4,
         takes_all: false,
         orders_at: 0,
     };
-    let give = later.news.give(&ask);
+    let give = later.replica.give(&ask);
     assert!(give.changes.is_empty() && give.all_upstreams.is_empty());
-    earlier.news.take(give, "later", 1_000);
-    assert_eq!(earlier.beliefs.deployment().version, 7);
-    assert_eq!(earlier.news.upstreams_at(), 4);
-    assert_eq!(earlier.news.upstreams_confirmed_ms(), 0, "not confirmed");
-    assert!(earlier.news.awaits_log());
+    earlier.replica.take(give, "later", 1_000);
+    assert_eq!(earlier.state.deployment().version, 7);
+    assert_eq!(earlier.replica.upstreams_at(), 4);
+    assert_eq!(earlier.replica.upstreams_confirmed_ms(), 0, "not confirmed");
+    assert!(earlier.replica.awaits_log());
     earlier.learn_from(&later);
     assert!(
-        earlier.beliefs.knows_upstream("i-2"),
+        earlier.state.knows_upstream("i-2"),
         "all, if the log is away"
     );
 }
@@ -246,14 +253,14 @@
 fn evacuation_that_was_taken_back_stays_so() {
     let (reader, late) = (Router::new(), Router::new());
     let evacuate = || Order::Evacuate("north".into());
-    reader.news.read_orders(0, vec![evacuate()], 1, 1);
-    assert!(reader.beliefs.evacuations().holds("north"));
+    reader.replica.read_orders(0, vec![evacuate()], 1, 1);
+    assert!(reader.state.evacuations().holds("north"));
     let readmit = vec![Order::Readmit("north".into())];
-    reader.news.read_orders(1, readmit, 2, 2);
+    reader.replica.read_orders(1, readmit, 2, 2);
     late.learn_from(&reader);
-    late.news.read_orders(0, vec![evacuate()], 3, 3);
-    assert!(!late.beliefs.evacuations().holds("north"));
-    assert_eq!(late.news.orders_at(), 2);
+    late.replica.read_orders(0, vec![evacuate()], 3, 3);
+    assert!(!late.state.evacuations().holds("north"));
+    assert_eq!(late.replica.orders_at(), 2);
 }
 
 /// A router starts while a data centre is evacuated, and the log is away: another tells it. It must not send there in
@@ -266,9 +273,9 @@
         Order::Other,
         Order::Evacuate("north".into()),
     ];
-    reader.news.read_all_orders(orders, 9, 1);
+    reader.replica.read_all_orders(orders, 9, 1);
     starter.learn_from(&reader);
-    assert_eq!(starter.beliefs.deployment().version, 7);
-    assert!(starter.beliefs.evacuations().holds("north"));
-    assert_eq!(starter.news.orders_at(), 9);
+    assert_eq!(starter.state.deployment().version, 7);
+    assert!(starter.state.evacuations().holds("north"));
+    assert_eq!(starter.replica.orders_at(), 9);
 }
--- a/src/path/news_world_tests.rs
+++ b/src/path/news_world_tests.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 
+use crate::path::cursor::{Order, Record, StreamCursor};
 use crate::path::news_fake_tests::{Answer, Entry, FakeStore, LAPSE_MS};
 use crate::path::news_tests::Router;
-use crate::path::reading::{Order, Reading, Record};
-use crate::schema::peer::{NewsAsk, NewsGive, NewsMark};
+use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest};
 use crate::util::{Clock, Name};
 
 pub(super) const ROUTERS: usize = 4;
@@ -20,14 +20,14 @@
 
 pub(super) struct Host {
     router: Router,
-    reading: Reading,
-    reading_orders: Reading,
+    cursor: StreamCursor,
+    order_cursor: StreamCursor,
     /// The log's answers under way, and when they were asked for.
     orders: Option<(u64, Answer<Order>)>,
     upstreams: Option<(u64, Answer<Record>)>,
-    peer: Option<(u64, NewsGive)>,
+    peer: Option<(u64, LogSyncReply)>,
     /// What others told while this one stands still.
-    marks: VecDeque<NewsMark>,
+    marks: VecDeque<LogPosition>,
     pub(super) shut: bool,
     pub(super) sleeps_until_ms: u64,
     started_ms: u64,
@@ -73,11 +73,11 @@
         let now_ms = self.now_ms();
         let host = &mut self.hosts[at];
         if host.orders.is_none() {
-            let ask = host.reading_orders.ask(host.router.news.orders_at());
+            let ask = host.order_cursor.ask(host.router.replica.orders_at());
             host.orders = Some((now_ms, self.store.answer_orders(ask)));
         }
         if host.upstreams.is_none() {
-            let ask = host.reading.ask(host.router.news.upstreams_at());
+            let ask = host.cursor.ask(host.router.replica.upstreams_at());
             host.upstreams = Some((now_ms, self.store.answer(ask)));
         }
     }
@@ -89,27 +89,29 @@
         let host = &mut self.hosts[at];
         match host.orders.take() {
             Some((asked_ms, Answer::All(orders, end))) => {
-                host.reading_orders.took_all(end);
-                host.router.news.read_all_orders(orders, end, asked_ms);
+                host.order_cursor.took_all(end);
+                host.router.replica.read_all_orders(orders, end, asked_ms);
             }
-            Some((asked_ms, Answer::News(from, orders))) => {
-                host.reading_orders.took(from, orders.len());
-                let news = &host.router.news;
-                news.read_orders(from, orders, asked_ms, asked_ms);
+            Some((asked_ms, Answer::Changes(from, orders))) => {
+                host.order_cursor.took(from, orders.len());
+                let replica = &host.router.replica;
+                replica.read_orders(from, orders, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.reading_orders.expired(),
+            Some((_, Answer::Expired)) => host.order_cursor.expired(),
             None => {}
         }
         match host.upstreams.take() {
             Some((asked_ms, Answer::All(records, end))) => {
-                host.reading.took_all(end);
-                host.router.news.read_all(records, end, asked_ms);
+                host.cursor.took_all(end);
+                host.router.replica.read_all(records, end, asked_ms);
             }
-            Some((asked_ms, Answer::News(from, records))) => {
-                host.reading.took(from, records.len());
-                host.router.news.read_on(from, records, asked_ms, asked_ms);
+            Some((asked_ms, Answer::Changes(from, records))) => {
+                host.cursor.took(from, records.len());
+                host.router
+                    .replica
+                    .read_on(from, records, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.reading.expired(),
+            Some((_, Answer::Expired)) => host.cursor.expired(),
             None => {}
         }
     }
@@ -119,13 +121,13 @@
             return;
         }
         let router = &self.hosts[at].router;
-        let ask = NewsAsk {
-            config_version: router.beliefs.deployment().version,
-            upstreams_at: router.news.upstreams_at(),
+        let ask = LogSyncRequest {
+            config_version: router.state.deployment().version,
+            upstreams_at: router.replica.upstreams_at(),
             takes_all: true,
-            orders_at: router.news.orders_at(),
+            orders_at: router.replica.orders_at(),
         };
-        let give = self.hosts[peer].router.news.give(&ask);
+        let give = self.hosts[peer].router.replica.give(&ask);
         self.hosts[at].peer = Some((self.now_ms(), give));
     }
 
@@ -135,7 +137,7 @@
         }
         let host = &mut self.hosts[at];
         if let Some((asked_ms, give)) = host.peer.take() {
-            host.router.news.take(give, "a peer", asked_ms);
+            host.router.replica.take(give, "a peer", asked_ms);
         }
     }
 
@@ -145,12 +147,12 @@
         self.now_ms.fetch_add(TICK_MS, Ordering::Relaxed);
         let now_ms = self.now_ms();
         self.store.tick(now_ms);
-        let marks: Vec<Option<NewsMark>> = (0..ROUTERS)
-            .map(|at| (!self.sleeps(at)).then(|| self.hosts[at].router.news.mark()))
+        let marks: Vec<Option<LogPosition>> = (0..ROUTERS)
+            .map(|at| (!self.sleeps(at)).then(|| self.hosts[at].router.replica.position()))
             .collect();
         for at in 0..ROUTERS {
             let others = marks.iter().enumerate().filter(|(from, _)| *from != at);
-            let heard: Vec<(usize, NewsMark)> = others
+            let heard: Vec<(usize, LogPosition)> = others
                 .filter_map(|(from, mark)| Some((from, (*mark)?)))
                 .collect();
             let host = &mut self.hosts[at];
@@ -160,16 +162,16 @@
             }
             let host = &mut self.hosts[at];
             for mark in std::mem::take(&mut host.marks) {
-                host.router.news.heard(&mark);
+                host.router.replica.heard(&mark);
             }
-            host.router.news.look();
-            host.router.news.settle();
-            let news = &host.router.news;
-            let (paces, now_ms) = (news.paces(), news.now_ms());
-            let config_is_stale = news.config_fresh().is_stale(now_ms, paces.config);
-            let upstreams_fresh = news.upstreams_fresh();
-            let is_stale = config_is_stale || upstreams_fresh.is_stale(now_ms, paces.upstreams);
-            let ahead = heard.iter().find(|(_, m)| host.router.news.is_behind(m));
+            host.router.replica.look();
+            host.router.replica.settle();
+            let replica = &host.router.replica;
+            let (schedules, now_ms) = (replica.schedules(), replica.now_ms());
+            let config_is_stale = replica.config_fresh().is_stale(now_ms, schedules.config);
+            let upstreams_fresh = replica.upstreams_fresh();
+            let is_stale = config_is_stale || upstreams_fresh.is_stale(now_ms, schedules.upstreams);
+            let ahead = heard.iter().find(|(_, m)| host.router.replica.is_behind(m));
             if let Some((peer, _)) = ahead {
                 self.ask_peer(at, *peer);
                 self.peer_answers(at);
@@ -194,14 +196,14 @@
     /// A version never goes back, and what was confirmed is all there was.
     fn check_config(&mut self, at: usize) {
         let host = &mut self.hosts[at];
-        let version = host.router.beliefs.deployment().version;
+        let version = host.router.state.deployment().version;
         assert!(
             version >= host.version,
             "{at}: version {version} after {}",
             host.version
         );
         host.version = version;
-        let fresh_ms = host.router.news.config_confirmed_ms();
+        let fresh_ms = host.router.replica.config_confirmed_ms();
         let newest = self.store.newest_version(fresh_ms);
         assert!(
             version >= newest,
@@ -212,11 +214,13 @@
     /// What is evacuated is what operators wrote up to the offset that is told, and what was confirmed is all there was.
     fn check_evacuations(&self, at: usize) {
         let router = &self.hosts[at].router;
-        let evacuated: BTreeSet<Name> = router.beliefs.evacuations().names().cloned().collect();
-        let end = usize::try_from(router.news.orders_at()).unwrap();
+        let evacuated: BTreeSet<Name> = router.state.evacuations().names().cloned().collect();
+        let end = usize::try_from(router.replica.orders_at()).unwrap();
         let written = self.store.evacuated(end);
         assert_eq!(evacuated, written, "{at}: not the log's at {end}");
-        let confirmed = self.store.orders_end_at(router.news.config_confirmed_ms());
+        let confirmed = self
+            .store
+            .orders_end_at(router.replica.config_confirmed_ms());
         if confirmed > end {
             let then = self.store.evacuated(confirmed);
             assert_eq!(
@@ -228,22 +232,22 @@
 
     fn check_upstreams(&self, at: usize) {
         let router = &self.hosts[at].router;
-        let listed: BTreeMap<String, Entry> = router.news.listed();
-        let end = usize::try_from(router.news.upstreams_at()).unwrap();
+        let listed: BTreeMap<String, Entry> = router.replica.listed();
+        let end = usize::try_from(router.replica.upstreams_at()).unwrap();
         assert_eq!(
             listed,
             self.store.entries(end),
             "{at}: not the log's at {end}"
         );
-        let confirmed = self.store.end_at(router.news.upstreams_confirmed_ms());
+        let confirmed = self.store.end_at(router.replica.upstreams_confirmed_ms());
         if confirmed > end {
             let then = self.store.entries(confirmed);
             assert_eq!(listed, then, "{at}: confirmed at {confirmed}, is at {end}");
         }
-        let doubted = router.news.doubted_ids();
-        let mut wanted: Vec<String> = listed.into_keys().chain(doubted).collect();
+        let invalidated = router.replica.doubted_ids();
+        let mut wanted: Vec<String> = listed.into_keys().chain(invalidated).collect();
         wanted.sort();
-        let known = router.beliefs.change_upstreams(|u| u.ids());
+        let known = router.state.change_upstreams(|u| u.ids());
         let mut known: Vec<String> = known.iter().map(ToString::to_string).collect();
         known.sort();
         assert_eq!(known, wanted, "{at}: neither listed nor in doubt");
@@ -254,7 +258,7 @@
         for (at, before) in known.iter().enumerate() {
             let lapsed = self.store.lapsed();
             let mut lost = before.iter().filter(|id| lapsed.contains(id.as_str()));
-            let knows = |id: &String| self.hosts[at].router.beliefs.knows_upstream(id);
+            let knows = |id: &String| self.hosts[at].router.state.knows_upstream(id);
             let lost = lost.find(|id| !knows(id));
             assert_eq!(lost, None, "{at}: taken for gone");
         }
@@ -271,7 +275,7 @@
         let known: Vec<Vec<String>> = (0..ROUTERS)
             .map(|at| {
                 let is_old = self.hosts[at].started_ms < self.down_since_ms && !self.sleeps(at);
-                let ids = self.hosts[at].router.beliefs.change_upstreams(|u| u.ids());
+                let ids = self.hosts[at].router.state.change_upstreams(|u| u.ids());
                 let ids = ids.iter().map(ToString::to_string);
                 if is_old { ids.collect() } else { Vec::new() }
             })
@@ -298,16 +302,12 @@
         let entries = self.store.entries(self.store.end());
         let evacuated = self.store.evacuated(self.store.orders_end_at(u64::MAX));
         for host in &self.hosts {
-            let known = host.router.beliefs.evacuations();
+            let known = host.router.state.evacuations();
             let known: BTreeSet<Name> = known.names().cloned().collect();
             assert_eq!(known, evacuated, "healed");
-            assert_eq!(host.router.beliefs.deployment().version, newest, "healed");
-            assert_eq!(host.router.news.listed(), entries, "healed");
-            assert_eq!(
-                host.router.beliefs.upstreams_known(),
-                entries.len(),
-                "healed"
-            );
+            assert_eq!(host.router.state.deployment().version, newest, "healed");
+            assert_eq!(host.router.replica.listed(), entries, "healed");
+            assert_eq!(host.router.state.upstreams_known(), entries.len(), "healed");
         }
     }
 }
@@ -315,8 +315,8 @@
 pub(super) fn host(now_ms: &'static AtomicU64) -> Host {
     Host {
         router: Router::with_clock(Clock::set_by(now_ms)),
-        reading: Reading::default(),
-        reading_orders: Reading::default(),
+        cursor: StreamCursor::default(),
+        order_cursor: StreamCursor::default(),
         orders: None,
         upstreams: None,
         peer: None,
--- a/src/path/peers.rs
+++ b/src/path/peers.rs
@@ -9,14 +9,14 @@
 use hyper::body::Incoming;
 use rand::seq::IteratorRandom;
 
-use crate::fleet::gossip::Note;
+use crate::fleet::gossip::GossipCommand;
 use crate::fleet::member::Member;
 use crate::front::body::Answer;
 use crate::path::Path;
 use crate::path::dialect::{Dialect, Records};
-use crate::peers::server::{self, Questions};
-use crate::peers::{MEMBERS, NEWS, PeerClient};
-use crate::schema::peer::{MembersAsk, MembersGive, NewsAsk, NewsGive};
+use crate::peers::server::{self, PeerHandler};
+use crate::peers::{LOG_SYNC, MEMBERS, PeerClient};
+use crate::schema::peer::{LogSyncReply, LogSyncRequest, MembersReply, MembersRequest};
 use crate::util::Name;
 
 /// A router that starts asks this many for news before it has any.
@@ -40,10 +40,15 @@
     server::bind(addr, key, drain, path).await
 }
 
-impl<D: Dialect + Records> Questions for Rc<Path<D>> {
+impl<D: Dialect + Records> PeerHandler for Rc<Path<D>> {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         match path {
-            NEWS => server::reply(NEWS, body, async |ask: NewsAsk| self.news.give(&ask)).await,
+            LOG_SYNC => {
+                server::reply(LOG_SYNC, body, async |ask: LogSyncRequest| {
+                    self.replica.give(&ask)
+                })
+                .await
+            }
             MEMBERS => {
                 server::reply(MEMBERS, body, async |ask| {
                     server::members(&self.gossip, ask).await
@@ -57,12 +62,12 @@
 
 /// Takes what other routers say they know, and asks those that know more.
 pub(crate) async fn follow<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
-    let mut marks = path.gossip.marks();
-    while marks.changed().await.is_ok() {
-        let heard = marks.borrow_and_update().clone();
-        path.news.heard(&heard.mark);
-        if path.news.is_behind(&heard.mark)
-            && !(leaves_it_to_the_log(&path) || path.news.awaits_log())
+    let mut peer_positions = path.gossip.peer_positions();
+    while peer_positions.changed().await.is_ok() {
+        let heard = peer_positions.borrow_and_update().clone();
+        path.replica.heard(&heard.position);
+        if path.replica.is_behind(&heard.position)
+            && !(leaves_it_to_the_log(&path) || path.replica.awaits_log())
             && let Some(addr) = path.peer_addr(&heard.host)
         {
             ask(&path, &client, &addr).await;
@@ -106,11 +111,11 @@
 
 /// Asks others anew each time that this router was suspended.
 pub(crate) async fn ask_after_suspend<D: Dialect + Records>(path: Rc<Path<D>>, client: PeerClient) {
-    let resumed = path.news.suspend().resumed();
+    let resumed = path.replica.suspend().resumed();
     loop {
         resumed.notified().await;
         for addr in others(&path) {
-            if !path.news.needs_refresh() {
+            if !path.replica.needs_refresh() {
                 break;
             }
             ask(&path, &client, &addr).await;
@@ -121,17 +126,17 @@
 /// Whether this router has just started and the log will tell it everything.
 fn leaves_it_to_the_log<D: Dialect + Records>(path: &Path<D>) -> bool {
     let has_started = path.clock.now_ms() >= LOG_ALONE_MS;
-    path.unready().is_some() && !has_started && !path.news.log_fails()
+    path.unready().is_some() && !has_started && !path.replica.log_fails()
 }
 
 async fn ask_members<D>(path: &Path<D>, client: &PeerClient, addr: &Name) -> bool {
     match client
-        .ask::<_, MembersGive>(addr, MEMBERS, &MembersAsk {})
+        .ask::<_, MembersReply>(addr, MEMBERS, &MembersRequest {})
         .await
     {
-        Ok(MembersGive { members }) => {
+        Ok(MembersReply { members }) => {
             let members = members.into_iter().map(Member::from).collect();
-            path.gossip.note(Note::Told(members));
+            path.gossip.send(GossipCommand::MembersReceived(members));
             true
         }
         Err(e) => {
@@ -142,15 +147,15 @@
 }
 
 async fn ask<D: Dialect + Records>(path: &Path<D>, client: &PeerClient, addr: &Name) {
-    let ask = NewsAsk {
-        config_version: path.beliefs.deployment().version,
-        upstreams_at: path.news.upstreams_at(),
-        takes_all: path.news.log_fails() || path.unready().is_some(),
-        orders_at: path.news.orders_at(),
+    let ask = LogSyncRequest {
+        config_version: path.state.deployment().version,
+        upstreams_at: path.replica.upstreams_at(),
+        takes_all: path.replica.log_fails() || path.unready().is_some(),
+        orders_at: path.replica.orders_at(),
     };
     let asked_ms = path.clock.now_ms();
-    match client.ask::<_, NewsGive>(addr, NEWS, &ask).await {
-        Ok(give) => path.news.take(give, addr, asked_ms),
+    match client.ask::<_, LogSyncReply>(addr, LOG_SYNC, &ask).await {
+        Ok(give) => path.replica.take(give, addr, asked_ms),
         Err(e) => log::debug!("{addr} gives no news: {e}"),
     }
 }
--- a/src/path/regions.rs
+++ b/src/path/regions.rs
@@ -6,7 +6,7 @@
 use crate::util::Name;
 
 /// Regions that operators allow a route's or an account's requests; `None` allows all.
-pub type Homes = Option<Rc<[Name]>>;
+pub type AllowedRegions = Option<Rc<[Name]>>;
 
 /// The region of each data centre.
 #[derive(Clone, Debug, Default)]
@@ -22,9 +22,9 @@
     /// use cassiagrade::path::regions::Regions;
     /// let regions = Regions::parse("north=home,south=home,far=abroad");
     /// assert_eq!(regions.of("far").unwrap().as_ref(), "abroad");
-    /// let homes = Some(["home".into()].into());
-    /// assert!(regions.allow(&[&homes, &None], "south"));
-    /// assert!(!regions.allow(&[&homes, &None], "far"));
+    /// let allowed_regions = Some(["home".into()].into());
+    /// assert!(regions.allow(&[&allowed_regions, &None], "south"));
+    /// assert!(!regions.allow(&[&allowed_regions, &None], "far"));
     /// ```
     pub fn parse(pairs: &str) -> Self {
         let pairs = pairs.split(',').filter_map(|pair| pair.split_once('='));
@@ -40,17 +40,25 @@
     }
 
     /// Whether a caller in `region` may be sent to a router of `data_center`: one of its own region, or of one that all
-    /// of `homes` allow.
-    pub fn may_start(&self, region: Option<&str>, homes: &[&Homes], data_center: &str) -> bool {
+    /// of `allowed_regions` allow.
+    pub fn may_start(
+        &self,
+        region: Option<&str>,
+        allowed_regions: &[&AllowedRegions],
+        data_center: &str,
+    ) -> bool {
         let routers = self.of(data_center).map(|r| &**r);
         let is_own = routers.is_some() && routers == region;
-        is_own || self.allow(homes, data_center)
+        is_own || self.allow(allowed_regions, data_center)
     }
 
-    /// Whether all of `homes` allow `data_center`. Where the region isn't known, only those that allow all do.
-    pub fn allow(&self, homes: &[&Homes], data_center: &str) -> bool {
+    /// Whether all of `allowed_regions` allow `data_center`. Where the region isn't known, only those that allow all do.
+    pub fn allow(&self, allowed_regions: &[&AllowedRegions], data_center: &str) -> bool {
         let region = self.of(data_center);
-        let allows = |homes: &[Name]| region.is_some_and(|r| homes.contains(r));
-        homes.iter().filter_map(|h| h.as_deref()).all(allows)
+        let allows = |allowed_regions: &[Name]| region.is_some_and(|r| allowed_regions.contains(r));
+        allowed_regions
+            .iter()
+            .filter_map(|h| h.as_deref())
+            .all(allows)
     }
 }
--- a/src/path/regions_tests.rs
+++ b/src/path/regions_tests.rs
@@ -1,9 +1,9 @@
-use super::regions::{Homes, Regions};
+use super::regions::{AllowedRegions, Regions};
 use test_case::test_case;
 
 const REGIONS: &str = "a-1=east,a-2=east,b-1=west,c-1=south";
 
-fn homes(names: &str) -> Homes {
+fn allowed_regions(names: &str) -> AllowedRegions {
     (!names.is_empty()).then(|| names.split(' ').map(Into::into).collect())
 }
 
@@ -17,7 +17,7 @@
 #[test_case("north", "", ""; "no data centre")]
 fn request_stays_at_home(route: &str, account: &str, wanted: &str) {
     let regions = Regions::parse(REGIONS);
-    let (route, account) = (homes(route), homes(account));
+    let (route, account) = (allowed_regions(route), allowed_regions(account));
     let allowed = ["a-1", "a-2", "b-1", "c-1", "unknown"].into_iter();
     let allowed = allowed.filter(|dc| regions.allow(&[&route, &account], dc));
     let allowed: Vec<&str> = allowed.collect();
@@ -32,7 +32,7 @@
 #[test_case(Some("south"), "", "a-1 a-2 b-1 c-1"; "no homes")]
 fn callers_start_in_homes_or_their_own_region(caller: Option<&str>, route: &str, wanted: &str) {
     let regions = Regions::parse(REGIONS);
-    let (route, other) = (homes(route), None);
+    let (route, other) = (allowed_regions(route), None);
     let start = ["a-1", "a-2", "b-1", "c-1"].into_iter();
     let start = start.filter(|dc| regions.may_start(caller, &[&route, &other], dc));
     assert_eq!(start.collect::<Vec<_>>().join(" "), wanted);
--- a/src/path/request.rs
+++ b/src/path/request.rs
@@ -8,7 +8,7 @@
 use http::{Request, Response};
 use hyper::body::Incoming;
 
-use crate::decide::refusal::{Cause, STARTING_MS, spread_ms};
+use crate::decide::refusal::{Cause, STARTING_MS, jittered_ms};
 use crate::decide::{ChatKey, Cost, Job};
 use crate::decide::{admission, quarantine};
 use crate::event::Kind;
@@ -73,7 +73,7 @@
     refresh_after_suspend(&path).await;
     let caller_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     wait_for_first_load(&path, &head, caller_ms).await;
-    let deployment = path.beliefs.deployment();
+    let deployment = path.state.deployment();
     check(&parts, &deployment.limits)?;
     if path.drain.phase() == Phase::Refusing {
         let detail = "this router is stopping";
@@ -85,7 +85,7 @@
     let body = check::body(&parts.headers, &mut body, max_bytes, BODY_TIMEOUT).await;
     let body = body.map_err(|e| malformed(&e))?;
     let fingerprint = fingerprint(account.as_deref(), &parts, &body);
-    if let Some(left_ms) = path.beliefs.convicted_ms(fingerprint, path.clock.now_ms()) {
+    if let Some(left_ms) = path.state.convicted_ms(fingerprint, path.clock.now_ms()) {
         let detail = "requests like this one crashed upstreams";
         return Err(Refused::not_run(Cause::Quarantined, left_ms, detail));
     }
@@ -119,7 +119,7 @@
     account: Option<&Account>,
     deadline: Instant,
 ) -> Result<Ticket, Refused> {
-    let deployment = path.beliefs.deployment();
+    let deployment = path.state.deployment();
     let rank = deployment.rank(service, account.and_then(|a| a.priority), route.priority);
     let left = deadline.saturating_duration_since(Instant::now());
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
@@ -149,10 +149,10 @@
 /// Waits until a router that was suspended has asked anew; if nobody answers, it goes on with what it
 /// knew.
 async fn refresh_after_suspend<D: Records>(path: &Path<D>) {
-    if !path.news.needs_refresh() {
+    if !path.replica.needs_refresh() {
         return;
     }
-    let refreshed = path.news.suspend().refreshed();
+    let refreshed = path.replica.suspend().refreshed();
     // Nobody to ask: serving by what was true is better than not at all.
     let _ = compio::time::timeout(REFRESH_LIMIT, refreshed.notified()).await;
 }
@@ -162,7 +162,7 @@
 /// Refused instead, all callers of a fleet that restarts come back together some hundred milliseconds later, when their
 /// objectives are missed and some have no retry left. Nothing is held while the log is known to fail.
 async fn wait_for_first_load<D: Records>(path: &Path<D>, head: &CallerHead, caller_ms: u64) {
-    if path.news.is_loaded() || path.news.log_fails() {
+    if path.replica.is_loaded() || path.replica.log_fails() {
         return;
     }
     let came_ms = path.clock.now_ms();
@@ -172,7 +172,7 @@
     if wait_ms == 0 {
         return;
     }
-    let settled = path.news.load_settled();
+    let settled = path.replica.load_settled();
     // A request whose wait is over is refused by what is missing then.
     let _ = compio::time::timeout(Duration::from_millis(wait_ms), settled.notified()).await;
     stats::held_for_load();
@@ -219,7 +219,7 @@
 fn route(deployment: &Deployment, parts: &Parts) -> Result<Rc<Route>, Refused> {
     if deployment.version == 0 {
         let detail = "no configuration is known yet";
-        let base_ms = spread_ms(STARTING_MS, &mut rand::rng());
+        let base_ms = jittered_ms(STARTING_MS, &mut rand::rng());
         return Err(Refused::not_run(Cause::NoUpstream, base_ms, detail));
     }
     let host = parts.headers.get(HOST).and_then(|h| h.to_str().ok());
--- a/src/path/beliefs.rs
+++ b/src/path/router_state.rs
@@ -11,19 +11,19 @@
 
 use crate::config::ALL_ON;
 use crate::decide::cold_start::ColdStarts;
-use crate::decide::connections::{self, Share};
+use crate::decide::connections::{self, ConnectionQuota};
 use crate::decide::ejection::Change;
-use crate::decide::retry::Budget;
+use crate::decide::retry::RetryBudget;
 use crate::fleet::gossip::{Gossip, Publish};
 use crate::fleet::loads::digest;
+use crate::mutation::{Mutation, mutated};
 use crate::path::evacuations::Evacuations;
 use crate::path::health::Health;
 use crate::path::regions::Regions;
 use crate::path::routes::Deployment;
 use crate::path::suspects::Suspects;
 use crate::path::upstreams::{Upstream, Upstreams};
-use crate::plant::{Plant, planted};
-use crate::schema::peer::{Flight, NewsMark, Suspicion, Wish};
+use crate::schema::peer::{InFlightCount, LogPosition, ServiceDemand, Suspicion};
 use crate::schema::settings::Decisions;
 use crate::util::Name;
 
@@ -45,13 +45,13 @@
 }
 
 /// What one router believes. Tasks share it and hold no borrow across a wait.
-pub(crate) struct Beliefs {
+pub(crate) struct RouterState {
     deployment: RefCell<Rc<Deployment>>,
     upstreams: RefCell<Upstreams>,
     evacuations: RefCell<Evacuations>,
     cold_starts: RefCell<ColdStarts>,
     health: RefCell<Health>,
-    budgets: RefCell<HashMap<Name, Budget>>,
+    budgets: RefCell<HashMap<Name, RetryBudget>>,
     running: RefCell<HashMap<Name, u32>>,
     suspects: RefCell<Suspects>,
     suspicions: RefCell<watch::Receiver<Arc<Vec<Suspicion>>>>,
@@ -90,13 +90,13 @@
 
 /// Counts one request at one upstream as long as it lives.
 pub(crate) struct Running {
-    beliefs: Rc<Beliefs>,
+    state: Rc<RouterState>,
     upstream: Name,
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        let mut running = self.beliefs.running.borrow_mut();
+        let mut running = self.state.running.borrow_mut();
         if let Some(count) = running.get_mut(&self.upstream) {
             *count -= 1;
             if *count == 0 {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Beliefs {
+impl RouterState {
     pub(crate) fn new(
         retry_limit: RetryLimit,
         data_center: Name,
@@ -155,7 +155,7 @@
     /// as an operator no longer allows.
     pub(crate) fn configure(&self, deployment: Deployment) -> bool {
         let mut held = self.deployment.borrow_mut();
-        if deployment.version <= held.version && !planted(Plant::TakeOlderVersion) {
+        if deployment.version <= held.version && !mutated(Mutation::TakeOlderVersion) {
             return false;
         }
         *held = Rc::new(deployment);
@@ -182,9 +182,9 @@
     }
 
     /// An upstream said how much longer it stays cold.
-    pub(crate) fn told_cold(&self, upstream: &Upstream, now_ms: u64) {
+    pub(crate) fn report_cold(&self, upstream: &Upstream, now_ms: u64) {
         let mut cold_starts = self.cold_starts.borrow_mut();
-        cold_starts.told(&upstream.id, &upstream.service, upstream.cold_ms, now_ms);
+        cold_starts.reported(&upstream.id, &upstream.service, upstream.cold_ms, now_ms);
     }
 
     /// Settles which cold upstreams this router, `host`, may send to as one of `hosts`.
@@ -224,11 +224,11 @@
     }
 
     /// What this router may have open to each upstream of `service`, as one of `routers`.
-    pub(crate) fn connections(&self, service: &str, routers: usize) -> Share {
+    pub(crate) fn connections(&self, service: &str, routers: usize) -> ConnectionQuota {
         let deployment = self.deployment.borrow();
         let max_connections = deployment.max_connections(service);
         let is_parted = self.decisions().connection_shares;
-        connections::share(max_connections.filter(|_| is_parted), routers)
+        connections::quota(max_connections.filter(|_| is_parted), routers)
     }
 
     /// Requests of this router that run or wait at `upstream`.
@@ -238,12 +238,12 @@
 
     /// How old the other routers' counts are on the mean.
     pub(crate) fn counts_age_ms(&self) -> f64 {
-        self.gossip.flights().age_ms
+        self.gossip.in_flight().age_ms
     }
 
     /// How many requests to `service` each of the other routers wants to run.
-    pub(crate) fn wishes_of_others(&self, service: &str) -> Vec<u32> {
-        let picture = self.gossip.flights();
+    pub(crate) fn demands_of_others(&self, service: &str) -> Vec<u32> {
+        let picture = self.gossip.in_flight();
         picture
             .wishes
             .get(&digest(service))
@@ -269,14 +269,14 @@
             .entry(upstream.clone())
             .or_insert(0) += 1;
         Running {
-            beliefs: self.clone(),
+            state: self.clone(),
             upstream: upstream.clone(),
         }
     }
 
     /// Tells the other routers what runs here and how calls ended since the last telling.
-    pub(crate) fn tell_running(&self, wishes: Vec<Wish>, mark: NewsMark) {
-        let mut flights: HashMap<Name, Flight> = HashMap::new();
+    pub(crate) fn publish_in_flight(&self, wishes: Vec<ServiceDemand>, mark: LogPosition) {
+        let mut flights: HashMap<Name, InFlightCount> = HashMap::new();
         for (id, running) in self.running.borrow().iter() {
             flights.entry(id.clone()).or_default().running = *running;
         }
@@ -285,17 +285,18 @@
             flight.ended = ended.ended;
             flight.failed = ended.failed;
         }
-        let flights = flights.into_iter().map(|(id, flight)| Flight {
+        let flights = flights.into_iter().map(|(id, flight)| InFlightCount {
             upstream_digest: digest(&id),
             ..flight
         });
         let flights = flights.collect();
-        self.gossip.publish(Publish::Flights(flights, wishes, mark));
+        self.gossip
+            .publish(Publish::InFlight(flights, wishes, mark));
     }
 
     /// Leaves upstreams out that fail a share of their calls, by what all routers saw.
     pub(crate) fn judge(&self, now_ms: u64) {
-        let told = &self.gossip.flights().upstreams;
+        let told = &self.gossip.in_flight().upstreams;
         let upstreams = self.upstreams.borrow();
         let mut health = self.health.borrow_mut();
         for pool in upstreams.pools() {
@@ -369,7 +370,7 @@
     }
 
     /// Takes what other routers hold against requests.
-    pub(crate) fn hear_suspicions(&self, now_ms: u64) {
+    pub(crate) fn merge_suspicions(&self, now_ms: u64) {
         let mut suspicions = self.suspicions.borrow_mut();
         if !suspicions.has_changed().unwrap_or(false) {
             return;
@@ -394,7 +395,7 @@
 
     /// Whether the upstreams of `service` run so much that they may be late or turn requests away for it.
     fn is_loaded(&self, service: &str) -> bool {
-        let told = self.gossip.flights();
+        let told = self.gossip.in_flight();
         let own = self.running.borrow();
         let upstreams = self.upstreams.borrow();
         let (mut running, mut slots) = (0.0, 0);
@@ -431,7 +432,7 @@
         let share = limit.share * BUDGET_SHARE;
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::with_burst(share, burst));
+            .or_insert_with(|| RetryBudget::with_burst(share, burst));
         budget.set_share(share);
         budget.set_burst(burst);
         budget.first_try();
@@ -440,7 +441,7 @@
     /// Takes one retry at `service`; `false` if there must be none.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let mut budgets = self.budgets.borrow_mut();
-        budgets.get_mut(service).is_some_and(Budget::take)
+        budgets.get_mut(service).is_some_and(RetryBudget::take)
     }
 
     /// Forgets what was seen of upstreams that are gone.
--- a/src/path/beliefs/pool.rs
+++ b/src/path/router_state/pool.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use crate::decide::spread::{self, Seat};
+use crate::decide::spread::{self, Candidate};
 use crate::fleet::loads::digest;
-use crate::path::beliefs::{Beliefs, Tried};
-use crate::path::regions::Homes;
+use crate::path::regions::AllowedRegions;
+use crate::path::router_state::{RouterState, Tried};
 use crate::path::upstreams::Upstream;
 use crate::util;
 
@@ -28,19 +28,19 @@
 /// In the order in which more is overlooked.
 const LENIENCES: [Lenience; 3] = [Lenience::Ejected, Lenience::Unreachable, Lenience::Tried];
 
-impl Beliefs {
+impl RouterState {
     /// The upstreams of `service` that take work, and how each is believed to stand now; this router
     /// may have `max_open` connections to each.
     pub(crate) fn pool(
         &self,
         service: &str,
         tried: &Tried<'_>,
-        homes: &[&Homes],
+        allowed_regions: &[&AllowedRegions],
         max_open: u32,
         now_ms: u64,
-    ) -> (Vec<Rc<Upstream>>, Vec<Seat>) {
+    ) -> (Vec<Rc<Upstream>>, Vec<Candidate>) {
         let pool = self.upstreams.borrow().pool(service).to_vec();
-        let picture = self.gossip.flights();
+        let picture = self.gossip.in_flight();
         let others = &picture.upstreams;
         let running = self.running.borrow();
         let health = self.health.borrow();
@@ -49,7 +49,7 @@
         let own = |u: &Upstream| running.get(&u.id).copied().unwrap_or(0);
         let evacuations = self.evacuations.borrow();
         let cold_starts = self.cold_starts.borrow();
-        let is_spared =
+        let is_withheld =
             |u: &Upstream| evacuations.holds(&u.data_center) || !cold_starts.admits(&u.id, now_ms);
         // An evacuation, homes, and what a cold upstream bears hold even where no other is left: then the request is refused at
         // once.
@@ -57,12 +57,12 @@
             u.draining
                 || health.is_replaced(u)
                 || own(u) >= max_open
-                || is_spared(u)
-                || !self.regions.allow(homes, &u.data_center)
+                || is_withheld(u)
+                || !self.regions.allow(allowed_regions, &u.data_center)
         };
         let is_unreachable =
             |u: &Upstream| decisions.unreachable && health.is_unreachable(u, now_ms);
-        let is_barred = |u: &Upstream, lenience: Lenience| {
+        let is_excluded = |u: &Upstream, lenience: Lenience| {
             takes_no_more(u)
                 || (lenience < Lenience::Tried || !tried.may_return) && tried.has(&u.id)
                 || lenience < Lenience::Unreachable && is_unreachable(u)
@@ -75,34 +75,34 @@
                 .map_or(0.0, |t| t.running)
         };
         let mut of_others: Vec<f64> = pool.iter().map(told).collect();
-        spread::steady(&mut of_others, picture.share);
-        let seat = |(u, of_others): (&Rc<Upstream>, &f64)| Seat {
+        spread::shrink_to_mean(&mut of_others, picture.share);
+        let candidate = |(u, of_others): (&Rc<Upstream>, &f64)| Candidate {
             id_hash: util::hash_bytes(u.id.as_bytes()),
             running: own(u) + of_others.round() as u32,
             own: own(u),
             slots: u.slots,
-            near: u.data_center == self.data_center,
-            barred: is_barred(u, Lenience::None),
-            spared: is_spared(u) && !u.draining,
+            is_local: u.data_center == self.data_center,
+            excluded: is_excluded(u, Lenience::None),
+            withheld: is_withheld(u) && !u.draining,
             has_parts: health.is_source(u, now_ms)
                 && !evacuations.holds(&u.data_center)
                 && joined.get(&u.id).is_none_or(|at| at + WARM_MS < now_ms),
         };
-        let mut seats: Vec<Seat> = pool.iter().zip(&of_others).map(seat).collect();
+        let mut candidates: Vec<Candidate> = pool.iter().zip(&of_others).map(candidate).collect();
         for lenience in LENIENCES {
-            if seats.iter().any(|s| !s.barred) {
+            if candidates.iter().any(|s| !s.excluded) {
                 break;
             }
-            for (seat, upstream) in seats.iter_mut().zip(&pool) {
-                seat.barred = is_barred(upstream, lenience);
+            for (candidate, upstream) in candidates.iter_mut().zip(&pool) {
+                candidate.excluded = is_excluded(upstream, lenience);
             }
         }
-        (pool, seats)
+        (pool, candidates)
     }
 
     /// Requests that the upstreams of `service` run at once, without those left out; `None` if they
     /// don't say how many they run.
-    pub(crate) fn places(&self, service: &str, now_ms: u64) -> Option<u32> {
+    pub(crate) fn slots_open(&self, service: &str, now_ms: u64) -> Option<u32> {
         let upstreams = self.upstreams.borrow();
         let health = self.health.borrow();
         let decisions = self.decisions();
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use crate::path::regions::Homes;
+use crate::path::regions::AllowedRegions;
 use crate::util::Name;
 
 /// What a failed request may do.
@@ -69,7 +69,7 @@
     /// Its prompts share parts that upstreams cache.
     pub cached_prompts: bool,
     /// Regions that its requests may go to.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
@@ -95,7 +95,7 @@
     /// Goes before the route's; among equal ones that decides.
     pub priority: Option<u8>,
     /// Regions that its requests may go to.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// What a caller may send, and how long it may take.
@@ -220,7 +220,7 @@
     ///     priority: 0,
     ///     public: true,
     ///     cached_prompts: false,
-    ///     homes: None,
+    ///     allowed_regions: None,
     /// };
     /// let routes = vec![("a.example".into(), route("all", "/")), ("a.example".into(), route("one", "/x/"))];
     /// let deployment = Deployment::from(Draft { version: 1, routes, ..Draft::default() });
@@ -238,10 +238,10 @@
     }
 
     /// The homes of those routes of `host` that have some.
-    pub fn homes(&self, host: &str) -> Vec<&Homes> {
+    pub fn allowed_regions(&self, host: &str) -> Vec<&AllowedRegions> {
         let routes = self.routes.get(host).into_iter().flatten();
-        let homes = routes.map(|r| &r.homes);
-        homes.filter(|h| h.is_some()).collect()
+        let allowed_regions = routes.map(|r| &r.allowed_regions);
+        allowed_regions.filter(|h| h.is_some()).collect()
     }
 
     /// Connections that each upstream of `service` takes from all routers together, if it says.
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::fleet::gossip::Note;
+use crate::fleet::gossip::GossipCommand;
 use crate::front::drain::Phase;
 use crate::path::Path;
 
@@ -20,7 +20,7 @@
     let started = Instant::now();
     let limit = grace.mul_f64(GRACE_SHARE);
     path.drain.enter(Phase::Leaving);
-    path.gossip.note(Note::Leave);
+    path.gossip.send(GossipCommand::Leave);
     let learnt = entry_ttl * HELD_FACTOR;
     compio::time::sleep(learnt.min(limit / 2)).await;
     path.drain.enter(Phase::Refusing);
--- a/src/path/suspects.rs
+++ b/src/path/suspects.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::decide::quarantine::{Quarantine, Standing};
+use crate::decide::quarantine::{Quarantine, QuarantineStatus};
 use crate::schema::peer::Suspicion;
 use crate::util::Name;
 
@@ -32,9 +32,9 @@
 impl Suspects {
     /// How much longer the request may not run, if it may not.
     pub(crate) fn convicted_ms(&self, fingerprint: u64, now_ms: u64) -> Option<u64> {
-        match self.quarantine.standing(fingerprint, now_ms) {
-            Standing::Convicted { left_ms } => Some(left_ms),
-            Standing::Free | Standing::Suspect => None,
+        match self.quarantine.status(fingerprint, now_ms) {
+            QuarantineStatus::Convicted { left_ms } => Some(left_ms),
+            QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
 
@@ -92,6 +92,6 @@
             age_ms,
         } = *told;
         self.quarantine
-            .heard(fingerprint, deaths, cleared, age_ms, now_ms);
+            .merge(fingerprint, deaths, cleared, age_ms, now_ms);
     }
 }
--- a/src/path/suspend.rs
+++ b/src/path/suspend.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::Notify;
 
-use crate::plant::{Plant, planted};
+use crate::mutation::{Mutation, mutated};
 use crate::util::Clock;
 
 /// The pause between two looks at the clock that shows a suspension: five times the pause of the task
@@ -43,7 +43,7 @@
     pub(crate) fn look(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let pause_ms = now_ms.saturating_sub(self.looked_ms.replace(now_ms));
-        if pause_ms <= SUSPENDED_MS || planted(Plant::BelieveOldMarks) {
+        if pause_ms <= SUSPENDED_MS || mutated(Mutation::BelieveOldMarks) {
             return false;
         }
         log::warn!("suspended for {pause_ms} ms");
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 pub(crate) use client::PeerClient;
-pub(crate) use probes::{Probes, Pulse};
+pub(crate) use probes::{Liveness, Probes};
 
 use crate::schema::peer::frame::Body;
 
@@ -24,7 +24,7 @@
 pub(crate) const FORWARD: &str = "/forward";
 pub(crate) const MEMBERS: &str = "/members";
 pub(crate) const CONFIG: &str = "/config";
-pub(crate) const NEWS: &str = "/news";
+pub(crate) const LOG_SYNC: &str = "/news";
 pub(crate) const WARM: &str = "/warm";
 pub(crate) const DEMAND: &str = "/demand";
 pub(crate) const CONVICTED: &str = "/convicted";
--- a/src/peers/probes/pulse.rs
+++ b/src/peers/probes/liveness.rs
@@ -5,13 +5,13 @@
 
 /// Whether this router may take itself for a live home, as its membership task last found.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pulse {
+pub(crate) struct Liveness {
     pub(super) at_ms: Rc<Cell<u64>>,
     pub(super) doubt: Rc<Cell<bool>>,
     pub(super) limit_ms: u64,
 }
 
-impl Pulse {
+impl Liveness {
     /// Whether the membership task ran lately and holds this router for alive.
     ///
     /// Failure guarded against: a router that was stopped for seconds wakes with requests in its
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -3,7 +3,7 @@
 //! A router sends a fixed number of datagrams a second, each of bounded size, whatever the size of
 //! the fleet: its own probes, and answers to those of others, which come at the same rate.
 
-mod pulse;
+mod liveness;
 mod seal;
 mod task;
 
@@ -19,8 +19,8 @@
 use tokio::sync::watch;
 
 use crate::event::Events;
-use crate::fleet::flights::FlightTable;
-use crate::fleet::gossip::{Gossip, Note};
+use crate::fleet::gossip::{Gossip, GossipCommand};
+use crate::fleet::in_flight::InFlightTable;
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::LoadTable;
 use crate::fleet::member::{Member, View};
@@ -33,7 +33,7 @@
 use crate::stats;
 use crate::util::Clock;
 
-pub(crate) use pulse::Pulse;
+pub(crate) use liveness::Liveness;
 use seal::Seal;
 use task::Task;
 
@@ -56,7 +56,7 @@
 pub(crate) struct Probes {
     pub(crate) gossip: Gossip,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) pulse: Pulse,
+    pub(crate) liveness: Liveness,
 }
 
 impl Probes {
@@ -67,11 +67,11 @@
         let listener = listen(start.socket.clone(), seal.clone(), gossip.clone());
         compio::runtime::spawn(listener).detach();
         let now_ms = start.clock.now_ms();
-        let pulse = Pulse {
+        let liveness = Liveness {
             limit_ms: start.policy.suspicion_ms,
-            ..Pulse::default()
+            ..Liveness::default()
         };
-        pulse.at_ms.set(now_ms);
+        liveness.at_ms.set(now_ms);
         let swim = Swim::new(start.me, start.policy, now_ms);
         let (publish, view) = watch::channel(Arc::new(swim.view()));
         let task = Task {
@@ -81,7 +81,7 @@
             loads: LoadTable::default(),
             suspects: SuspectTable::default(),
             leaving: LeavingTable::default(),
-            flights: FlightTable::default(),
+            flights: InFlightTable::default(),
             flights_seq: 0,
             names: HashMap::new(),
             config: start.config,
@@ -90,14 +90,14 @@
             rng: SmallRng::from_os_rng(),
             publish,
             heard,
-            pulse: pulse.clone(),
+            liveness: liveness.clone(),
             loads_changed: true,
         };
         compio::runtime::spawn(task.run(rx)).detach();
         Self {
             gossip,
             view,
-            pulse,
+            liveness,
         }
     }
 }
@@ -112,7 +112,7 @@
             Ok((_, from)) => match open(&seal, &buffer) {
                 Some(body) => {
                     count("received", &body, buffer.len());
-                    gossip.note(Note::Datagram(from, Box::new(body)));
+                    gossip.send(GossipCommand::Datagram(from, Box::new(body)));
                 }
                 None => stats::stranger(),
             },
--- a/src/peers/probes/task.rs
+++ b/src/peers/probes/task.rs
@@ -12,9 +12,11 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::event::{Events, Kind};
-use crate::fleet::flights::{FlightTable, MAX_TOLD};
-use crate::fleet::gossip::{ConfigHeard, Heard, Loads, MarkHeard, Note, Publish};
+use crate::fleet::gossip::{
+    GossipCommand, GossipSenders, Loads, NewestConfig, PeerPosition, Publish,
+};
 use crate::fleet::homes;
+use crate::fleet::in_flight::{InFlightTable, MAX_REPORTED};
 use crate::fleet::leaving::LeavingTable;
 use crate::fleet::loads::{self, LoadTable};
 use crate::fleet::member::{Member, MemberState, View};
@@ -23,10 +25,12 @@
 use crate::log::view::ConfigView;
 use crate::peers::frames;
 use crate::peers::probes::count;
-use crate::peers::probes::pulse::Pulse;
+use crate::peers::probes::liveness::Liveness;
 use crate::peers::probes::seal::{Seal, TAG_BYTES};
 use crate::schema::peer::datagram::Body;
-use crate::schema::peer::{self, Ack, Datagram, Flight, Flights, NewsMark, Ping, Wish};
+use crate::schema::peer::{
+    self, Ack, Datagram, InFlightCount, InFlightReport, LogPosition, Ping, ServiceDemand,
+};
 use crate::stats;
 use crate::util::{Clock, Name};
 
@@ -53,7 +57,7 @@
     pub(super) loads: LoadTable,
     pub(super) suspects: SuspectTable,
     pub(super) leaving: LeavingTable,
-    pub(super) flights: FlightTable,
+    pub(super) flights: InFlightTable,
     pub(super) flights_seq: u64,
     pub(super) names: HashMap<u32, Name>,
     pub(super) config: watch::Receiver<Arc<ConfigView>>,
@@ -61,13 +65,13 @@
     pub(super) events: Events,
     pub(super) rng: SmallRng,
     pub(super) publish: watch::Sender<Arc<View>>,
-    pub(super) heard: Heard,
-    pub(super) pulse: Pulse,
+    pub(super) heard: GossipSenders,
+    pub(super) liveness: Liveness,
     pub(super) loads_changed: bool,
 }
 
 impl Task {
-    pub(super) async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Note>) {
+    pub(super) async fn run(mut self, mut rx: mpsc::UnboundedReceiver<GossipCommand>) {
         self.config_changed();
         let mut next_tick_ms = 0;
         loop {
@@ -87,7 +91,7 @@
 
     async fn tick(&mut self, now_ms: u64) {
         let out = self.swim.tick(now_ms, &mut self.rng);
-        self.pulse.at_ms.set(now_ms);
+        self.liveness.at_ms.set(now_ms);
         if self.config.has_changed().unwrap_or(false) {
             self.config_changed();
         }
@@ -96,7 +100,7 @@
             self.leaving_changed(leaving);
         }
         if self.swim.take_changed() {
-            self.pulse
+            self.liveness
                 .doubt
                 .set(self.swim.in_doubt() || self.swim.replaced());
             self.view_changed();
@@ -110,34 +114,36 @@
         self.send_all(out).await;
     }
 
-    async fn handle(&mut self, note: Note) {
+    async fn handle(&mut self, note: GossipCommand) {
         let now_ms = self.clock.now_ms();
         match note {
-            Note::Publish(Publish::Loads(loads)) => {
+            GossipCommand::Publish(Publish::Loads(loads)) => {
                 for load in &loads {
                     self.loads.publish(load);
                 }
                 self.loads_changed = true;
             }
-            Note::Publish(Publish::Flights(flights, wishes, mark)) => {
+            GossipCommand::Publish(Publish::InFlight(flights, wishes, mark)) => {
                 self.tell_flights(flights, wishes, mark, now_ms).await;
             }
-            Note::Publish(Publish::Suspicion(suspicion)) => self.suspect(&[suspicion], now_ms),
-            Note::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
+            GossipCommand::Publish(Publish::Suspicion(suspicion)) => {
+                self.suspect(&[suspicion], now_ms)
+            }
+            GossipCommand::Publish(Publish::UpstreamLeaving { upstream, leaving }) => {
                 self.leaving.signalled(&upstream, leaving);
             }
-            Note::Datagram(from, body) => self.receive(from, *body, now_ms).await,
-            Note::Listed(hosts, leaving) => {
+            GossipCommand::Datagram(from, body) => self.receive(from, *body, now_ms).await,
+            GossipCommand::Listed(hosts, leaving) => {
                 self.swim.listed(hosts, now_ms);
                 self.leaving.listed(&leaving);
             }
-            Note::Told(members) => self.swim.learn(members, now_ms),
-            Note::Members(reply) => {
+            GossipCommand::MembersReceived(members) => self.swim.learn(members, now_ms),
+            GossipCommand::Members(reply) => {
                 // The asker may have gone.
                 let _ = reply.send(self.swim.all());
             }
-            Note::Leave => self.swim.leave(now_ms),
-            Note::Goodbye(done) => {
+            GossipCommand::Leave => self.swim.leave(now_ms),
+            GossipCommand::Goodbye(done) => {
                 let out = self.swim.goodbye(now_ms, &mut self.rng);
                 self.send_all(out).await;
                 // The router may have given up waiting.
@@ -149,9 +155,9 @@
     /// Tells the others what runs where. In a large fleet each telling goes to some, drawn anew.
     async fn tell_flights(
         &mut self,
-        flights: Vec<Flight>,
-        wishes: Vec<Wish>,
-        mark: NewsMark,
+        flights: Vec<InFlightCount>,
+        wishes: Vec<ServiceDemand>,
+        mark: LogPosition,
         now_ms: u64,
     ) {
         let view = self.publish.borrow().clone();
@@ -161,7 +167,7 @@
         self.heard.flights.send_replace(Arc::new(picture));
         self.flights_seq += 1;
         let me = self.swim.me();
-        let body = Body::Flights(Flights {
+        let body = Body::Flights(InFlightReport {
             from_host: me.host.to_string(),
             from_incarnation: me.incarnation,
             seq: self.flights_seq,
@@ -178,7 +184,7 @@
         let others = view.members.iter().filter(|m| m.host != me.host);
         let live = others.filter(is_live);
         let addrs = live.filter_map(|m| m.peer_addr.parse::<SocketAddr>().ok());
-        for addr in addrs.choose_multiple(&mut self.rng, MAX_TOLD) {
+        for addr in addrs.choose_multiple(&mut self.rng, MAX_REPORTED) {
             count("sent", &body, datagram.len());
             let BufResult(sent, _) = self.socket.send_to(datagram.clone(), addr).await;
             if let Err(e) = sent {
@@ -206,8 +212,11 @@
                 let mark = told.mark.take().unwrap_or_default();
                 let host = told.from_host.clone();
                 self.heard
-                    .marks
-                    .send_replace(Arc::new(MarkHeard { host, mark }));
+                    .peer_positions
+                    .send_replace(Arc::new(PeerPosition {
+                        host,
+                        position: mark,
+                    }));
                 return self.flights.heard(told, now_ms);
             }
         };
@@ -249,7 +258,7 @@
             return;
         };
         let peer_addr = member.peer_addr.clone();
-        self.heard.config.send_replace(Arc::new(ConfigHeard {
+        self.heard.config.send_replace(Arc::new(NewestConfig {
             offset,
             digest,
             peer_addr,
@@ -268,8 +277,10 @@
         let config = self.config.borrow().clone();
         let mut view = self.swim.view();
         let drained = |host: &str| {
-            let marks = config.state.hosts.iter();
-            marks.into_iter().any(|m| m.draining && m.host == host)
+            let peer_positions = config.state.hosts.iter();
+            peer_positions
+                .into_iter()
+                .any(|m| m.draining && m.host == host)
         };
         for member in &mut view.members {
             if member.takes_work() && drained(&member.host) {
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -16,24 +16,24 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::oneshot;
 
-use crate::fleet::gossip::{Gossip, Note};
+use crate::fleet::gossip::{Gossip, GossipCommand};
 use crate::front::body::Answer;
 use crate::front::{Drain, listen};
 use crate::peers::http2::LocalExec;
 use crate::peers::{frames, kind};
-use crate::schema::peer::{self, MembersAsk, MembersGive};
+use crate::schema::peer::{self, MembersReply, MembersRequest};
 use crate::socket::watch_silence;
 use crate::stats;
 use crate::util::Name;
 
 /// Answers other routers' questions.
-pub(crate) trait Questions: Clone + 'static {
+pub(crate) trait PeerHandler: Clone + 'static {
     /// The answer to what came at `path`.
     fn answer(&self, path: &str, body: Incoming) -> impl Future<Output = Response<Answer>>;
 }
 
 /// Serves routers that know the fleet's `key` at `addr`.
-pub(crate) async fn bind<Q: Questions>(
+pub(crate) async fn bind<Q: PeerHandler>(
     addr: SocketAddr,
     key: Name,
     drain: Drain,
@@ -52,7 +52,7 @@
     Ok(addr)
 }
 
-async fn serve<Q: Questions>(stream: TcpStream, key: Name, drain: Drain, questions: Q) {
+async fn serve<Q: PeerHandler>(stream: TcpStream, key: Name, drain: Drain, questions: Q) {
     watch_silence(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
         let (key, drain, questions) = (key.clone(), drain.clone(), questions.clone());
@@ -118,14 +118,14 @@
 }
 
 /// Everyone this router heard of.
-pub(crate) async fn members(gossip: &Gossip, MembersAsk {}: MembersAsk) -> MembersGive {
+pub(crate) async fn members(gossip: &Gossip, MembersRequest {}: MembersRequest) -> MembersReply {
     let (reply, members) = oneshot::channel();
-    gossip.note(Note::Members(reply));
+    gossip.send(GossipCommand::Members(reply));
     let members = members
         .await
         .inspect_err(|e| log::warn!("members not told: {e}"))
         .unwrap_or_default();
-    MembersGive {
+    MembersReply {
         members: members.iter().map(peer::Member::from).collect(),
     }
 }
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -12,17 +12,17 @@
 use crate::config::ALL_ON;
 use crate::event::Events;
 use crate::exporter::Exporter;
+use crate::fleet::log_reads::ReadSchedule;
 use crate::fleet::member::{Member, MemberState};
-use crate::fleet::news::Pace;
 use crate::fleet::swim::SwimPolicy;
 use crate::front::{Drain, pages};
 use crate::log::view::ConfigView;
 use crate::logs;
-use crate::path::beliefs::{Beliefs, RetryLimit};
 use crate::path::gate::Gates;
 use crate::path::link::Links;
-use crate::path::news::{News, Paces};
+use crate::path::log_replica::{LogReplica, ReadSchedules};
 use crate::path::regions::Regions;
+use crate::path::router_state::{RetryLimit, RouterState};
 use crate::path::{Path, callers, peers, stop, tend};
 use crate::peers::{PeerClient, Probes, probes};
 use crate::platform::{Fleet, Headers, Pages, Store, follow_orders, follow_upstreams};
@@ -69,17 +69,17 @@
             clock,
             events: events.clone(),
         });
-        let beliefs = Beliefs::new(
+        let state = RouterState::new(
             retry_limit(&policy),
             me.data_center.clone(),
             regions(&settings),
             probes.gossip.clone(),
         );
-        let beliefs = Rc::new(beliefs);
-        beliefs.decide_by(settings.decisions.unwrap_or(ALL_ON));
+        let state = Rc::new(state);
+        state.decide_by(settings.decisions.unwrap_or(ALL_ON));
         let path = Rc::new(Path {
-            news: News::new(beliefs.clone(), clock, paces(&policy)),
-            beliefs,
+            replica: LogReplica::new(state.clone(), clock, schedules(&policy)),
+            state,
             gates: Gates::open(clock),
             links: Links::default(),
             clock,
@@ -123,10 +123,10 @@
     /// Takes changed settings. Addresses hold until the next start, which is logged.
     pub fn apply(&self, settings: &Settings) {
         let policy = settings.fleet.clone().unwrap_or_default();
-        self.path.beliefs.limit_retries(retry_limit(&policy));
-        self.path.news.set_paces(paces(&policy));
+        self.path.state.limit_retries(retry_limit(&policy));
+        self.path.replica.set_schedules(schedules(&policy));
         let decisions = settings.decisions.unwrap_or(ALL_ON);
-        self.path.beliefs.decide_by(decisions);
+        self.path.state.decide_by(decisions);
         self.entry_ttl
             .set(Duration::from_millis(policy.entry_ttl_ms.into()));
         self.grace.set(Duration::from_secs_f64(policy.grace_s));
@@ -189,10 +189,10 @@
     }
 }
 
-fn paces(fleet: &crate::schema::settings::Fleet) -> Paces {
-    Paces {
-        config: Pace::within(fleet.config_bound_ms),
-        upstreams: Pace::within(fleet.leaving_bound_ms),
+fn schedules(fleet: &crate::schema::settings::Fleet) -> ReadSchedules {
+    ReadSchedules {
+        config: ReadSchedule::within(fleet.config_bound_ms),
+        upstreams: ReadSchedule::within(fleet.leaving_bound_ms),
     }
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -11,13 +11,13 @@
 
 use crate::event::{Events, Kind};
 use crate::exporter::Exporter;
+use crate::fleet::host_list;
 use crate::fleet::member::{Member, MemberState};
-use crate::fleet::roster;
 use crate::fleet::swim::SwimPolicy;
 use crate::front::Drain;
 use crate::log::LogError;
 use crate::log::claimant::Claimant;
-use crate::log::keeper::{Following, Keeper, PeerQuestion};
+use crate::log::config_task::{ConfigHandle, Following, PeerQuestion};
 use crate::log::platform::Platform;
 use crate::peers::{PeerClient, Probes, probes, server};
 use crate::schema::settings::{Fleet, Listen, Settings};
@@ -179,13 +179,14 @@
         poll: Duration::from_millis(platform.log_poll_ms.into()),
         retention: Duration::from_millis(platform.retention_ms),
     };
-    let (keeper, questions) = Keeper::spawn(client.clone(), &name, following, events.clone());
+    let (config_handle, questions) =
+        ConfigHandle::spawn(client.clone(), &name, following, events.clone());
     let tokens = Tokens::new(&name, Clock::start());
     let orders = Orders::spawn(orders::Start {
         log: client.clone(),
         host: name.clone(),
         clock: Clock::start(),
-        config: keeper.view(),
+        config: config_handle.view(),
         http: cyper::Client::new().context(ClientSnafu)?,
         events: events.clone(),
     });
@@ -209,25 +210,25 @@
         policy: swim_policy(&fleet),
         fleet_key: fleet.key,
         me,
-        config: keeper.view(),
+        config: config_handle.view(),
         clock,
         events: events.clone(),
     });
     let poll = Duration::from_millis(platform.host_list_poll_ms.into());
-    roster::spawn(client, probes.gossip.clone(), probes.view.clone(), poll);
+    host_list::spawn(client, probes.gossip.clone(), probes.view.clone(), poll);
     let ctx = Ctx {
         settings,
         host: name,
         clock,
         events,
-        config: keeper.view(),
-        keeper,
+        config: config_handle.view(),
+        config_handle,
         claims,
         tokens,
         orders,
         fleet: probes.view,
         gossip: probes.gossip,
-        pulse: probes.pulse,
+        liveness: probes.liveness,
         drain: Drain::default(),
     };
     Ok((ctx, questions))
--- a/src/serve/admin.rs
+++ b/src/serve/admin.rs
@@ -13,9 +13,9 @@
 
 use crate::exporter::Exporter;
 use crate::front::body::Answer;
-use crate::front::listen::{self, Place, Places};
+use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
 use crate::front::pages::Page;
-use crate::log::follow::Standing;
+use crate::log::follow::FollowStatus;
 use crate::serve::SharedCtx;
 
 /// Far more than scrapers need; strangers that hold more would take callers' file descriptors.
@@ -58,17 +58,22 @@
 }
 
 async fn accept(listener: TcpListener, ctx: SharedCtx, metrics: Option<Exporter>) {
-    let places = Places::new(MAX_CONNECTIONS);
+    let permits = ConnectionPermits::new(MAX_CONNECTIONS);
     loop {
         let stream = listen::accept(&listener, "admin connection").await;
-        if let Some(place) = places.take() {
-            let connection = serve(stream, ctx.clone(), metrics.clone(), place);
+        if let Some(permit) = permits.take() {
+            let connection = serve(stream, ctx.clone(), metrics.clone(), permit);
             compio::runtime::spawn(connection).detach();
         }
     }
 }
 
-async fn serve(stream: TcpStream, ctx: SharedCtx, metrics: Option<Exporter>, _place: Place) {
+async fn serve(
+    stream: TcpStream,
+    ctx: SharedCtx,
+    metrics: Option<Exporter>,
+    _permit: ConnectionPermit,
+) {
     let service = service_fn(move |request| {
         let response = page(&ctx, metrics.as_ref(), &request);
         async move { Ok::<_, Infallible>(response) }
@@ -104,11 +109,11 @@
     let version = ctx.config().state.version;
     let mut reasons = Vec::new();
     if version == 0 {
-        reasons.push(match ctx.keeper.standing() {
-            Standing::LogDown => "no configuration yet: neither the log nor a peer gave one",
-            Standing::Gap => "no configuration yet: its records expired and no peer has it",
-            Standing::Newer { .. } => "no configuration yet: its records are of a newer schema",
-            Standing::Starting | Standing::Current => "no configuration yet",
+        reasons.push(match ctx.config_handle.status() {
+            FollowStatus::LogDown => "no configuration yet: neither the log nor a peer gave one",
+            FollowStatus::Gap => "no configuration yet: its records expired and no peer has it",
+            FollowStatus::Newer { .. } => "no configuration yet: its records are of a newer schema",
+            FollowStatus::Starting | FollowStatus::Current => "no configuration yet",
         });
     }
     if ctx.drain.is_stopping() {
--- a/src/serve/callers/mod.rs
+++ b/src/serve/callers/mod.rs
@@ -22,7 +22,7 @@
 use crate::decide::refusal::Cause;
 use crate::front::accept;
 use crate::front::connection::{self, Bounds};
-use crate::front::listen::Place;
+use crate::front::listen::ConnectionPermit;
 use crate::peers::refuse;
 use crate::serve::SharedCtx;
 use crate::serve::callers::headers::MAX_HEADERS;
@@ -52,7 +52,7 @@
             FULL_RETRY_MS,
             accept::FULL,
         ));
-        let serve = move |stream, place| serve(stream, ctx.clone(), requests.clone(), place);
+        let serve = move |stream, permit| serve(stream, ctx.clone(), requests.clone(), permit);
         compio::runtime::spawn(accept::run(listener, limits, full, serve)).detach();
         Ok(Self { addr })
     }
@@ -62,7 +62,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, ctx: SharedCtx, requests: Requests, place: Place) {
+async fn serve(stream: TcpStream, ctx: SharedCtx, requests: Requests, permit: ConnectionPermit) {
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!("caller's connection with delayed writes: {e}");
     }
@@ -80,5 +80,5 @@
         async move { requests.handle(request).await }
     };
     connection::serve(stream, bounds, ctx.drain.clone(), handle).await;
-    drop(place);
+    drop(permit);
 }
--- a/src/serve/callers/requests.rs
+++ b/src/serve/callers/requests.rs
@@ -12,7 +12,7 @@
 use sha2::{Digest, Sha256};
 use uuid::Uuid;
 
-use crate::decide::refusal::{Cause, RunState, STARTING_MS, spread_ms};
+use crate::decide::refusal::{Cause, RunState, STARTING_MS, jittered_ms};
 use crate::event::Kind;
 use crate::front::body::Answer;
 use crate::front::check::{self, RequestError};
@@ -118,7 +118,7 @@
 
     fn account(&self, headers: &HeaderMap) -> Result<config::Account, peer::Refusal> {
         if !self.ctx.knows_configuration() {
-            let retry_ms = spread_ms(STARTING_MS, &mut rand::rng());
+            let retry_ms = jittered_ms(STARTING_MS, &mut rand::rng());
             let detail = "no configuration is known yet";
             let refused = refuse::not_run(Cause::NoUpstream, retry_ms, detail);
             return Err(keys::in_doubt_if_keyed(headers, refused));
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -8,7 +8,7 @@
 use futures_util::pin_mut;
 use tokio::sync::mpsc;
 
-use crate::decide::quarantine::{Quarantine, Standing};
+use crate::decide::quarantine::{Quarantine, QuarantineStatus};
 use crate::decide::refusal::{Cause, Refusal};
 use crate::decide::{ChatKey, Cost, Job, JobId, Name};
 use crate::event::Kind;
@@ -131,10 +131,10 @@
     /// Whether the request is a suspect; refuses a convict.
     fn check(&self, forward: &Forward) -> Result<bool, peer::Refusal> {
         let fingerprint = suspects::fingerprint(forward);
-        match self.suspects.standing(fingerprint, forward.deaths) {
-            Standing::Free => Ok(false),
-            Standing::Suspect => Ok(true),
-            Standing::Convicted { left_ms } => {
+        match self.suspects.status(fingerprint, forward.deaths) {
+            QuarantineStatus::Free => Ok(false),
+            QuarantineStatus::Suspect => Ok(true),
+            QuarantineStatus::Convicted { left_ms } => {
                 let refusal = Quarantine::refusal(left_ms, &mut rand::rng());
                 let detail = "upstreams died each time they ran this request";
                 Err(refuse::message(&refusal, detail))
--- a/src/serve/home/limits.rs
+++ b/src/serve/home/limits.rs
@@ -7,8 +7,8 @@
 
 use rand::Rng;
 
-use crate::decide::limits::{Accountant, Demand, Limit, Limits, Over};
-use crate::decide::refusal::{Cause, Refusal, spread_ms};
+use crate::decide::limits::{Demand, Exceeded, Limit, Limits, ShareAllocator};
+use crate::decide::refusal::{Cause, Refusal, jittered_ms};
 use crate::fleet::homes;
 use crate::peers::{DEMAND, PeerClient};
 use crate::schema::peer::{AccountDemand, AccountShare, DemandReport, ShareGrant};
@@ -25,7 +25,7 @@
 pub(crate) struct Accounts {
     ctx: SharedCtx,
     limits: Rc<RefCell<Limits>>,
-    accountant: Rc<RefCell<Accountant>>,
+    accountant: Rc<RefCell<ShareAllocator>>,
 }
 
 /// Counts one request of an account as long as it lives.
@@ -178,11 +178,11 @@
     }
 }
 
-fn refusal(over: Over) -> Refusal {
+fn refusal(over: Exceeded) -> Refusal {
     let rng = &mut rand::rng();
     let retry_ms = match over {
-        Over::Rate { wait_ms } => spread_ms(wait_ms, rng),
-        Over::Concurrency => spread_ms(BUSY_MS, rng),
+        Exceeded::Rate { wait_ms } => jittered_ms(wait_ms, rng),
+        Exceeded::Concurrency => jittered_ms(BUSY_MS, rng),
     };
     Refusal::not_run(Cause::AccountLimit, retry_ms.max(1))
 }
--- a/src/serve/home/loads.rs
+++ b/src/serve/home/loads.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::decide::PoolView;
-use crate::decide::loads::{LoadView, Seen, Slots};
+use crate::decide::loads::{LoadView, Slots, UpstreamLoad};
 use crate::fleet::gossip::{Gossip, Loads};
 use crate::log::view::ConfigView;
 use crate::schema::peer::{Load, LoadNow};
@@ -58,7 +58,7 @@
 
     /// Takes what an upstream's home said of it.
     pub(crate) fn heard(&self, upstream: &Name, load: &LoadNow) {
-        let seen = Seen {
+        let seen = UpstreamLoad {
             work_ms: load.work_ms,
             in_flight: load.in_flight,
             queued: load.queued,
@@ -67,7 +67,7 @@
     }
 
     /// Takes the exact load of an upstream that this router is home to.
-    pub(crate) fn set(&self, upstream: &Name, seen: Seen) {
+    pub(crate) fn set(&self, upstream: &Name, seen: UpstreamLoad) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().view.heard(upstream, seen, now_ms);
     }
@@ -77,12 +77,12 @@
         self.state.borrow_mut().view.sent(upstream, work_ms);
     }
 
-    pub(crate) fn get(&self, upstream: &str) -> Option<Seen> {
+    pub(crate) fn get(&self, upstream: &str) -> Option<UpstreamLoad> {
         self.refresh();
         self.state.borrow().view.get(upstream)
     }
 
-    pub(crate) fn pool_view(&self, pool: &[Slots], own: Option<(&str, Seen)>) -> PoolView {
+    pub(crate) fn pool_view(&self, pool: &[Slots], own: Option<(&str, UpstreamLoad)>) -> PoolView {
         self.refresh();
         self.state.borrow().view.pool_view(pool, own)
     }
@@ -91,7 +91,7 @@
     ///
     /// Guards against a home that has heard no other home yet and takes its own slice for the
     /// pool: it would send work away to others that hold more.
-    pub(crate) fn bounded_view(&self, pool: &[Slots], own: (&str, Seen)) -> PoolView {
+    pub(crate) fn bounded_view(&self, pool: &[Slots], own: (&str, UpstreamLoad)) -> PoolView {
         let mut view = self.pool_view(pool, Some(own));
         if view.known < ENOUGH_KNOWN && view.known * 2 < view.upstreams {
             view.mean_work_ms = f64::INFINITY;
@@ -117,8 +117,8 @@
     }
 }
 
-fn seen(load: &Load) -> Seen {
-    Seen {
+fn seen(load: &Load) -> UpstreamLoad {
+    UpstreamLoad {
         work_ms: load.work_ms,
         in_flight: load.in_flight,
         queued: load.queued,
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -11,7 +11,7 @@
 use compio::net::TcpStream;
 use futures_util::future::join_all;
 
-use crate::decide::quarantine::{self, Quarantine, Standing};
+use crate::decide::quarantine::{self, Quarantine, QuarantineStatus};
 use crate::decide::refusal::Cause;
 use crate::event::Kind;
 use crate::fleet::gossip::Publish;
@@ -97,16 +97,16 @@
     }
 
     /// What is held of a request that came with `deaths` already counted on its way.
-    pub(crate) fn standing(&self, fingerprint: u64, deaths: u32) -> Standing {
+    pub(crate) fn status(&self, fingerprint: u64, deaths: u32) -> QuarantineStatus {
         self.take_heard();
         let now_ms = self.ctx.clock.now_ms();
         let state = &mut *self.state.borrow_mut();
         if deaths > 0 {
             state
                 .quarantine
-                .heard(fingerprint, deaths, false, 0, now_ms);
+                .merge(fingerprint, deaths, false, 0, now_ms);
         }
-        state.quarantine.standing(fingerprint, now_ms)
+        state.quarantine.status(fingerprint, now_ms)
     }
 
     /// Counts a suspect that starts at `upstream`.
@@ -142,12 +142,12 @@
         let now_ms = self.ctx.clock.now_ms();
         let died = |state: &mut State| {
             let deaths = state.quarantine.died(fingerprint, sole, now_ms);
-            (deaths, state.quarantine.standing(fingerprint, now_ms))
+            (deaths, state.quarantine.status(fingerprint, now_ms))
         };
-        let (deaths, standing) = died(&mut self.state.borrow_mut());
+        let (deaths, status) = died(&mut self.state.borrow_mut());
         self.publish(fingerprint, deaths, false);
         refused.deaths = deaths;
-        if let Standing::Convicted { left_ms } = standing {
+        if let QuarantineStatus::Convicted { left_ms } = status {
             self.ctx
                 .events
                 .emit_request(Kind::RequestQuarantined, forward, |e| {
@@ -172,7 +172,7 @@
     pub(crate) fn told(&self, suspicion: &Suspicion) -> Done {
         let now_ms = self.ctx.clock.now_ms();
         let quarantine = &mut self.state.borrow_mut().quarantine;
-        quarantine.heard(suspicion.fingerprint, suspicion.deaths, false, 0, now_ms);
+        quarantine.merge(suspicion.fingerprint, suspicion.deaths, false, 0, now_ms);
         Done {}
     }
 
@@ -221,7 +221,7 @@
         let now_ms = self.ctx.clock.now_ms();
         for s in latest.iter() {
             let quarantine = &mut state.quarantine;
-            quarantine.heard(s.fingerprint, s.deaths, s.cleared, s.age_ms, now_ms);
+            quarantine.merge(s.fingerprint, s.deaths, s.cleared, s.age_ms, now_ms);
         }
         state.heard = Some(latest);
     }
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::concurrency::Concurrency;
 use crate::decide::home::{Home, HomePolicy, Offer, Ready};
-use crate::decide::loads::{Seen, Slots};
+use crate::decide::loads::{Slots, UpstreamLoad};
 use crate::decide::refusal::{Cause, Refusal};
 use crate::decide::{Job, JobId, PoolView, Priority};
 use crate::event::Kind;
@@ -268,9 +268,9 @@
         view
     }
 
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> UpstreamLoad {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Seen {
+        UpstreamLoad {
             work_ms: self.home.work_ms(),
             in_flight: count(self.home.in_flight()),
             queued: count(self.home.queued()),
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -26,10 +26,10 @@
 use crate::fleet::member::{MemberState, View};
 use crate::front::Drain;
 use crate::log::claimant::Claimant;
-use crate::log::follow::Standing;
-use crate::log::keeper::Keeper;
+use crate::log::config_task::ConfigHandle;
+use crate::log::follow::FollowStatus;
 use crate::log::view::ConfigView;
-use crate::peers::{Pulse, refuse};
+use crate::peers::{Liveness, refuse};
 use crate::schema::peer::Refusal;
 use crate::schema::settings::Settings;
 use crate::util::{Clock, Name};
@@ -43,14 +43,14 @@
     pub(crate) host: Name,
     pub(crate) clock: Clock,
     pub(crate) events: Events,
-    pub(crate) keeper: Keeper,
+    pub(crate) config_handle: ConfigHandle,
     pub(crate) claims: Claimant,
     pub(crate) tokens: Tokens,
     pub(crate) orders: operator::orders::Orders,
     pub(crate) config: watch::Receiver<Arc<ConfigView>>,
     pub(crate) fleet: watch::Receiver<Arc<View>>,
     pub(crate) gossip: Gossip,
-    pub(crate) pulse: Pulse,
+    pub(crate) liveness: Liveness,
     pub(crate) drain: Drain,
 }
 
@@ -64,12 +64,12 @@
     /// Whether what the configuration doesn't hold doesn't exist. A router that starts may not have heard of it.
     pub(crate) fn knows_configuration(&self) -> bool {
         let has_version = self.config.borrow().state.version > 0;
-        has_version || self.keeper.standing() == Standing::Current
+        has_version || self.config_handle.status() == FollowStatus::Current
     }
 
     /// Whether this router may admit work as a home; a forwarded request never hops again.
     pub(crate) fn may_admit(&self) -> Result<(), Refusal> {
-        if self.pulse.may_admit(self.clock.now_ms()) {
+        if self.liveness.may_admit(self.clock.now_ms()) {
             return Ok(());
         }
         crate::stats::home_refused("in_doubt");
--- a/src/serve/operator/mod.rs
+++ b/src/serve/operator/mod.rs
@@ -21,10 +21,10 @@
 
 use crate::fleet::homes;
 use crate::fleet::member::View;
-use crate::front::listen::{self, Place, Places};
+use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
 use crate::log::config::Applied;
+use crate::log::config_task::ConfigHandle;
 use crate::log::follow::ApplyError;
-use crate::log::keeper::Keeper;
 use crate::log::view::ConfigView;
 use crate::peers::http2::{self, LocalExec};
 use crate::schema::config::State;
@@ -62,7 +62,7 @@
         let rpc = Rpc {
             key: key.unwrap_or_default().into(),
             host: ctx.host.clone(),
-            keeper: ctx.keeper.clone(),
+            config_handle: ctx.config_handle.clone(),
             orders: ctx.orders.clone(),
             config: ctx.config.clone(),
             fleet: ctx.fleet.clone(),
@@ -85,16 +85,16 @@
 }
 
 async fn accept(listener: TcpListener, rpc: Arc<Rpc>) {
-    let places = Places::new(MAX_CONNECTIONS);
+    let permits = ConnectionPermits::new(MAX_CONNECTIONS);
     loop {
         let stream = listen::accept(&listener, "operator").await;
-        if let Some(place) = places.take() {
-            compio::runtime::spawn(serve(stream, rpc.clone(), place)).detach();
+        if let Some(permit) = permits.take() {
+            compio::runtime::spawn(serve(stream, rpc.clone(), permit)).detach();
         }
     }
 }
 
-async fn serve(stream: TcpStream, rpc: Arc<Rpc>, _place: Place) {
+async fn serve(stream: TcpStream, rpc: Arc<Rpc>, _permit: ConnectionPermit) {
     let service = TowerToHyperService::new(OperatorServer::from_arc(rpc));
     let served = hyper::server::conn::http2::Builder::new(LocalExec)
         .timer(CompioTimer)
@@ -111,7 +111,7 @@
 struct Rpc {
     key: Name,
     host: Name,
-    keeper: Keeper,
+    config_handle: ConfigHandle,
     orders: Orders,
     config: watch::Receiver<Arc<ConfigView>>,
     fleet: watch::Receiver<Arc<View>>,
@@ -147,10 +147,14 @@
         self.authorize(&request)?;
         let change = request.into_inner().change;
         let change = change.ok_or_else(|| Status::invalid_argument("change: missing"))?;
-        let outcome = self.keeper.apply(change).await.map_err(|e| match e {
-            ApplyError::NotApplied { .. } => Status::unavailable(e.to_string()),
-            ApplyError::Unknown { .. } => Status::unknown(e.to_string()),
-        })?;
+        let outcome = self
+            .config_handle
+            .apply(change)
+            .await
+            .map_err(|e| match e {
+                ApplyError::NotApplied { .. } => Status::unavailable(e.to_string()),
+                ApplyError::Unknown { .. } => Status::unknown(e.to_string()),
+            })?;
         let mut reply = ApplyReply {
             offset: outcome.offset,
             ..ApplyReply::default()
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -19,7 +19,7 @@
 use crate::event::{Events, Kind};
 use crate::log::Log;
 use crate::log::lease::{Lease, LeaseError, Lessor};
-use crate::log::pace::RealTime;
+use crate::log::timer::RealTime;
 use crate::log::view::ConfigView;
 use crate::schema::config::Upstream;
 use crate::schema::operator::{OrderReply, OrderRequest};
--- a/src/serve/peers/join.rs
+++ b/src/serve/peers/join.rs
@@ -7,10 +7,10 @@
 
 use rand::seq::IteratorRandom;
 
-use crate::fleet::gossip::Note;
+use crate::fleet::gossip::GossipCommand;
 use crate::fleet::member::Member;
 use crate::peers::{MEMBERS, PeerClient};
-use crate::schema::peer::{MembersAsk, MembersGive};
+use crate::schema::peer::{MembersReply, MembersRequest};
 use crate::serve::SharedCtx;
 use crate::util::Name;
 
@@ -31,11 +31,11 @@
         return;
     }
     for addr in others(ctx) {
-        let asked = peers.ask(&addr, MEMBERS, &MembersAsk {}).await;
+        let asked = peers.ask(&addr, MEMBERS, &MembersRequest {}).await;
         match asked {
-            Ok(MembersGive { members }) => {
+            Ok(MembersReply { members }) => {
                 let members = members.into_iter().map(Member::from).collect();
-                ctx.gossip.note(Note::Told(members));
+                ctx.gossip.send(GossipCommand::MembersReceived(members));
                 return;
             }
             Err(e) => log::debug!("{addr} tells no members: {e}"),
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -14,10 +14,10 @@
 use crate::fleet::homes;
 use crate::front::body::{Answer, next_wanted};
 use crate::peers::frames::{self, Decoder};
-use crate::peers::server::{self, Questions, reply, status};
+use crate::peers::server::{self, PeerHandler, reply, status};
 use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
 use crate::schema::peer::frame::Body;
-use crate::schema::peer::{ConfigAsk, ConfigGive, Forward, Frame};
+use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
 use crate::serve::route::claim_link::{CLAIM, CLAIM_NOTE, give_claim, take_note};
 use crate::serve::route::dispatch::Dispatch;
 use crate::serve::route::once::Once;
@@ -31,7 +31,7 @@
     pub(crate) dispatch: Dispatch,
 }
 
-impl Questions for Answers {
+impl PeerHandler for Answers {
     async fn answer(&self, path: &str, body: Incoming) -> Response<Answer> {
         let Self { ctx, dispatch } = self;
         match path {
@@ -54,10 +54,10 @@
 }
 
 /// The state, if it is newer than the asker's.
-fn give_config(ctx: &SharedCtx, ask: &ConfigAsk) -> ConfigGive {
+fn give_config(ctx: &SharedCtx, ask: &ConfigRequest) -> ConfigReply {
     let config = ctx.config();
     let newer = config.state.offset > ask.have_offset;
-    ConfigGive {
+    ConfigReply {
         digest: config.digest,
         offset: config.state.offset,
         state: newer.then(|| config.state.clone()),
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -3,9 +3,9 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::member::Member;
-use crate::log::keeper::PeerQuestion;
+use crate::log::config_task::PeerQuestion;
 use crate::peers::{CONFIG, PeerClient};
-use crate::schema::peer::{ConfigAsk, ConfigGive};
+use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::serve::SharedCtx;
 
 /// Peers asked for one question, in turn from one question to the next.
@@ -29,18 +29,18 @@
 async fn ask_some(
     ctx: &SharedCtx,
     peers: &PeerClient,
-    ask: ConfigAsk,
+    ask: ConfigRequest,
     turn: &mut usize,
-) -> Option<ConfigGive> {
+) -> Option<ConfigReply> {
     let fleet = ctx.fleet();
     let other = |m: &&Member| m.host != ctx.host && m.takes_work();
     let others: Vec<&Member> = fleet.members.iter().filter(other).collect();
-    let mut best: Option<ConfigGive> = None;
+    let mut best: Option<ConfigReply> = None;
     for _ in 0..ASKED.min(others.len()) {
         let member = others[*turn % others.len()];
         *turn = turn.wrapping_add(1);
         match peers
-            .ask::<_, ConfigGive>(&member.peer_addr, CONFIG, &ask)
+            .ask::<_, ConfigReply>(&member.peer_addr, CONFIG, &ask)
             .await
         {
             Ok(give) if best.as_ref().is_none_or(|b| give.offset > b.offset) => best = Some(give),
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -4,11 +4,11 @@
 
 use crate::fleet::homes;
 use crate::log::claimant::Grouping;
-use crate::log::claims::{self, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
 use crate::peers::PeerClient;
-use crate::schema::peer::{ClaimAsk, ClaimGive, ClaimNote, Done};
+use crate::schema::peer::{ClaimReply, ClaimRequest, ClaimUpdate, Done};
 use crate::schema::records::claim_record::Body as Record;
 use crate::schema::records::{Claim, Release};
 use crate::schema::settings::Platform;
@@ -38,7 +38,7 @@
     /// releases it: then a third claim would run the request beside this one.
     pub(crate) async fn claim(&self, claim: &mut Claim, key_ms: u64) -> Result<Verdict, LogDown> {
         if let Some(addr) = self.reader(&claim.key) {
-            let ask = ClaimAsk {
+            let ask = ClaimRequest {
                 claim: Some(claim.clone()),
                 key_ms,
             };
@@ -65,7 +65,7 @@
     }
 
     /// Has a release or an outcome appended.
-    pub(crate) async fn note(&self, key: &str, note: ClaimNote) {
+    pub(crate) async fn note(&self, key: &str, note: ClaimUpdate) {
         if let Some(addr) = self.reader(key)
             && self
                 .peers
@@ -80,7 +80,7 @@
 }
 
 /// Settles a peer's claim here.
-pub(crate) async fn give_claim(ctx: &SharedCtx, ask: ClaimAsk) -> ClaimGive {
+pub(crate) async fn give_claim(ctx: &SharedCtx, ask: ClaimRequest) -> ClaimReply {
     let Some(claim) = ask.claim else {
         return give(Err(LogDown));
     };
@@ -88,7 +88,7 @@
 }
 
 /// Queues a peer's release or outcome here.
-pub(crate) fn take_note(ctx: &SharedCtx, note: ClaimNote) -> Done {
+pub(crate) fn take_note(ctx: &SharedCtx, note: ClaimUpdate) -> Done {
     if let Some(claim) = note.claim {
         let key = claim.key.clone();
         ctx.claims.note(&key, Record::Claim(claim));
@@ -104,42 +104,42 @@
     Done {}
 }
 
-fn give(settled: Result<Verdict, LogDown>) -> ClaimGive {
+fn give(settled: Result<Verdict, LogDown>) -> ClaimReply {
     match settled {
-        Ok(Verdict::Won) => ClaimGive {
+        Ok(Verdict::Won) => ClaimReply {
             won: true,
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Ok(Verdict::Lost(Standing::Free)) => ClaimGive::default(),
-        Ok(Verdict::Lost(Standing::Held(holder))) => ClaimGive {
+        Ok(Verdict::Lost(KeyStatus::Free)) => ClaimReply::default(),
+        Ok(Verdict::Lost(KeyStatus::Held(holder))) => ClaimReply {
             holder: Some(holder),
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Ok(Verdict::Lost(Standing::Done(holder, outcome))) => ClaimGive {
+        Ok(Verdict::Lost(KeyStatus::Done(holder, outcome))) => ClaimReply {
             holder: Some(holder),
             outcome: Some(outcome),
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
-        Err(LogDown) => ClaimGive {
+        Err(LogDown) => ClaimReply {
             log_down: true,
-            ..ClaimGive::default()
+            ..ClaimReply::default()
         },
     }
 }
 
-fn verdict(give: ClaimGive) -> Result<Verdict, LogDown> {
+fn verdict(give: ClaimReply) -> Result<Verdict, LogDown> {
     if give.log_down {
         return Err(LogDown);
     }
     if give.won {
         return Ok(Verdict::Won);
     }
-    let standing = match (give.holder, give.outcome) {
-        (Some(holder), Some(outcome)) => Standing::Done(holder, outcome),
-        (Some(holder), None) => Standing::Held(holder),
-        _ => Standing::Free,
+    let status = match (give.holder, give.outcome) {
+        (Some(holder), Some(outcome)) => KeyStatus::Done(holder, outcome),
+        (Some(holder), None) => KeyStatus::Held(holder),
+        _ => KeyStatus::Free,
     };
-    Ok(Verdict::Lost(standing))
+    Ok(Verdict::Lost(status))
 }
 
 /// How the settings say that claims are grouped.
--- a/src/serve/route/dispatch.rs
+++ b/src/serve/route/dispatch.rs
@@ -7,8 +7,8 @@
 use futures_util::pin_mut;
 use tokio::sync::mpsc;
 
-use crate::decide::refusal::{Cause, spread_ms};
-use crate::decide::retry::Failed;
+use crate::decide::refusal::{Cause, jittered_ms};
+use crate::decide::retry::FailedAttempt;
 use crate::decide::{ChatKey, Rates, refusal};
 use crate::event::Kind;
 use crate::fleet::homes;
@@ -17,7 +17,7 @@
 use crate::schema::config::Upstream;
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{
-    DemandReport, Done, Forward, Refusal, ShareGrant, Suspicion, WarmAsk, WarmGive,
+    DemandReport, Done, Forward, Refusal, ShareGrant, Suspicion, WarmReply, WarmRequest,
 };
 use crate::serve::SharedCtx;
 use crate::serve::home::Homes;
@@ -62,7 +62,7 @@
     /// It is full but not over its bound: wait there if no other has room.
     Full(Refusal),
     /// It can't be reached or is leaving, and no byte of the request left.
-    Failed(Refusal),
+    FailedAttempt(Refusal),
     /// Final for the caller.
     Refused(Refusal),
 }
@@ -114,7 +114,7 @@
             }
             let spent_ms = self.ctx.clock.now_ms() - start_ms;
             forward.remaining_ms = budget_ms.saturating_sub(spent_ms);
-            let tried = Failed {
+            let tried = FailedAttempt {
                 may_have_run: !refuse::surely_not_run(&refused),
                 retries,
                 remaining_ms: forward.remaining_ms,
@@ -142,7 +142,7 @@
         if let Some(name) = resume {
             match self.try_at(forward, &name, &plan, true).await {
                 Tried::Started(started) => return Ok(started),
-                Tried::Failed(refused) => return Err((Some(name), refused)),
+                Tried::FailedAttempt(refused) => return Err((Some(name), refused)),
                 Tried::Next(_) | Tried::Full(_) | Tried::Refused(_) => {}
             }
         }
@@ -158,18 +158,18 @@
                     full = true;
                     last = Some(name.clone());
                 }
-                Tried::Failed(refused) => return Err((Some(name.clone()), refused)),
+                Tried::FailedAttempt(refused) => return Err((Some(name.clone()), refused)),
                 Tried::Refused(refused) => return Err((None, refused)),
             }
         }
         let Some(name) = last else {
             let detail = "the service has no upstream that takes work";
-            let base_ms = spread_ms(NO_UPSTREAM_MS, &mut rand::rng());
+            let base_ms = jittered_ms(NO_UPSTREAM_MS, &mut rand::rng());
             return Err((None, refuse::not_run(Cause::NoUpstream, base_ms, detail)));
         };
         match self.try_at(forward, &name, &plan, true).await {
             Tried::Started(started) => Ok(started),
-            Tried::Failed(refused) => Err((Some(name), refused)),
+            Tried::FailedAttempt(refused) => Err((Some(name), refused)),
             Tried::Next(refused) | Tried::Full(refused) | Tried::Refused(refused) => {
                 Err((None, self.come_back(refused)))
             }
@@ -187,7 +187,11 @@
         let config = self.ctx.config();
         let Some(upstream) = config.upstream(&forward.service, name).cloned() else {
             let detail = "the upstream has just been taken out";
-            return Tried::Failed(refuse::not_run(Cause::NoUpstream, NO_UPSTREAM_MS, detail));
+            return Tried::FailedAttempt(refuse::not_run(
+                Cause::NoUpstream,
+                NO_UPSTREAM_MS,
+                detail,
+            ));
         };
         self.address(forward, name, plan, last);
         let sent = Instant::now();
@@ -258,11 +262,11 @@
             Ok(Cause::OverBound) => Tried::Next(refused),
             Ok(Cause::Full) => Tried::Full(refused),
             Ok(Cause::NoUpstream | Cause::Draining | Cause::HomeUnreachable) => {
-                Tried::Failed(refused)
+                Tried::FailedAttempt(refused)
             }
             Ok(Cause::UpstreamFailed) => {
                 self.placer.failed(forward, name);
-                Tried::Failed(refused)
+                Tried::FailedAttempt(refused)
             }
             _ => Tried::Refused(refused),
         }
@@ -271,7 +275,7 @@
     /// No refusal without a time to come back.
     fn come_back(&self, mut refused: Refusal) -> Refusal {
         if refused.retry_after_ms == 0 {
-            refused.retry_after_ms = spread_ms(NO_UPSTREAM_MS, &mut rand::rng());
+            refused.retry_after_ms = jittered_ms(NO_UPSTREAM_MS, &mut rand::rng());
         }
         refused
     }
@@ -340,7 +344,7 @@
     }
 
     /// Answers a router that asks or tells where a chat was served last.
-    pub(crate) fn warm(&self, ask: WarmAsk) -> WarmGive {
+    pub(crate) fn warm(&self, ask: WarmRequest) -> WarmReply {
         self.placer.answer(ask)
     }
 
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -7,14 +7,14 @@
 
 use crate::decide::refusal::{Cause, Refusal, RunState};
 use crate::event::Kind;
-use crate::log::claims::{self, Standing, Verdict};
+use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
 use crate::peers::{Frames, PeerClient, refuse};
 use crate::schema::config::Service;
 use crate::schema::peer;
 use crate::schema::peer::frame::Body;
-use crate::schema::peer::{ClaimNote, Forward};
+use crate::schema::peer::{ClaimUpdate, Forward};
 use crate::schema::records::claim_record::Body as Record;
 use crate::schema::records::{Claim, Outcome, Release};
 use crate::serve::SharedCtx;
@@ -101,9 +101,9 @@
         );
         match self.link.claim(&mut claim, key.at_ms).await {
             Ok(Verdict::Won) => self.won(&key, claim, forward).await,
-            Ok(Verdict::Lost(standing)) => {
+            Ok(Verdict::Lost(status)) => {
                 self.note_event(Kind::ClaimLost, &claim, &forward.request_id);
-                self.resent(&claim, standing)
+                self.resent(&claim, status)
             }
             Err(LogDown) => Err(in_doubt(refuse::not_run(
                 Cause::LogUnavailable,
@@ -168,7 +168,7 @@
         key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(forward);
         match self.ctx.claims.look(&claim.key, at_ms).await {
-            Ok(standing @ Standing::Done(..)) => self.resent(&claim, standing),
+            Ok(status @ KeyStatus::Done(..)) => self.resent(&claim, status),
             _ => Err(lost(
                 "the router that this key names is gone; nobody knows whether it ran",
             )),
@@ -190,7 +190,7 @@
         let claim = self.scoped_claim(&forward);
         match self.ctx.tokens.claim(&claim) {
             Verdict::Won => self.start(claim, Arbiter::Memory, forward).await,
-            Verdict::Lost(standing) => self.resent(&claim, standing),
+            Verdict::Lost(status) => self.resent(&claim, status),
         }
     }
 
@@ -275,19 +275,19 @@
     }
 
     /// Answers a request whose key another claim holds or held.
-    fn resent(&self, claim: &Claim, standing: Standing) -> Result<Started, peer::Refusal> {
-        match standing {
-            Standing::Held(holder) | Standing::Done(holder, _)
+    fn resent(&self, claim: &Claim, status: KeyStatus) -> Result<Started, peer::Refusal> {
+        match status {
+            KeyStatus::Held(holder) | KeyStatus::Done(holder, _)
                 if holder.fingerprint != claim.fingerprint =>
             {
                 let detail = "idempotency-key: was used for another request";
                 Err(refuse::not_run(Cause::BadRequest, 0, detail))
             }
-            Standing::Done(_, outcome) if outcome.status > 0 => Ok(kept::answer(outcome)),
-            Standing::Done(..) => Err(lost("an earlier try of this key has no known outcome")),
-            Standing::Held(holder) => Err(self.held(&holder)),
+            KeyStatus::Done(_, outcome) if outcome.status > 0 => Ok(kept::answer(outcome)),
+            KeyStatus::Done(..) => Err(lost("an earlier try of this key has no known outcome")),
+            KeyStatus::Held(holder) => Err(self.held(&holder)),
             // The holder's release came between: free again.
-            Standing::Free => Err(refuse::not_run(
+            KeyStatus::Free => Err(refuse::not_run(
                 Cause::StillRunning,
                 STILL_RUNNING_RETRY_MS,
                 "an earlier try was not run; send again",
@@ -333,9 +333,9 @@
             self.ctx.tokens.note(Record::Release(release));
             return;
         }
-        let note = ClaimNote {
+        let note = ClaimUpdate {
             release: Some(release),
-            ..ClaimNote::default()
+            ..ClaimUpdate::default()
         };
         self.link.note(&claim.key, note).await;
     }
@@ -344,9 +344,9 @@
     /// claim goes before it, though this router's memory has decided.
     async fn keep(&self, arbiter: Arbiter, claim: Claim, outcome: Outcome) {
         let key = claim.key.clone();
-        let mut note = ClaimNote {
+        let mut note = ClaimUpdate {
             outcome: Some(outcome.clone()),
-            ..ClaimNote::default()
+            ..ClaimUpdate::default()
         };
         if arbiter == Arbiter::Memory {
             self.ctx.tokens.note(Record::Outcome(outcome));
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -12,16 +12,16 @@
 
 use crate::decide::ejection::{self, Change, Ejector};
 use crate::decide::loads::Slots;
+use crate::decide::lru::LruCache;
 use crate::decide::placement::{self, PlacementPolicy, PoolIndex};
-use crate::decide::retry::{self, Budget, Failed};
-use crate::decide::warm::Warm;
+use crate::decide::retry::{self, FailedAttempt, RetryBudget};
 use crate::decide::{ChatKey, Rates};
 use crate::event::Kind;
 use crate::fleet::homes;
 use crate::log::view::ConfigView;
 use crate::peers::{PeerClient, WARM};
 use crate::schema::config::Policy;
-use crate::schema::peer::{Forward, WarmAsk, WarmGive};
+use crate::schema::peer::{Forward, WarmReply, WarmRequest};
 use crate::serve::SharedCtx;
 use crate::serve::home::loads::{SharedLoads, pool_slots};
 use crate::util::Name;
@@ -57,12 +57,12 @@
 }
 
 struct State {
-    memory: Warm<Place>,
+    memory: LruCache<Place>,
     pools: HashMap<Name, Rc<PoolState>>,
     config: Option<Arc<ConfigView>>,
     joined_ms: HashMap<Name, u64>,
     ejector: Ejector,
-    budget: Budget,
+    budget: RetryBudget,
     rng: SmallRng,
 }
 
@@ -74,12 +74,12 @@
 impl Placer {
     pub(crate) fn new(ctx: SharedCtx, peers: PeerClient, loads: SharedLoads) -> Self {
         let state = State {
-            memory: Warm::new(MEMORY_CHATS),
+            memory: LruCache::new(MEMORY_CHATS),
             pools: HashMap::new(),
             config: None,
             joined_ms: HashMap::new(),
             ejector: Ejector::default(),
-            budget: Budget::new(retry::DEFAULT_SHARE),
+            budget: RetryBudget::new(retry::DEFAULT_SHARE),
             rng: SmallRng::from_os_rng(),
         };
         Self {
@@ -158,7 +158,7 @@
     }
 
     /// How long to wait before another try, or `None` if there must be none.
-    pub(crate) fn pause_ms(&self, failed: Failed) -> Option<u64> {
+    pub(crate) fn pause_ms(&self, failed: FailedAttempt) -> Option<u64> {
         let state = &mut *self.state.borrow_mut();
         state.budget.pause_ms(failed, &mut state.rng)
     }
@@ -178,14 +178,14 @@
         let Some(addr) = pool.and_then(|pool| self.anchor(forward, &pool)) else {
             return;
         };
-        let note = WarmAsk {
+        let note = WarmRequest {
             chat_key: forward.chat_key,
             upstream: upstream.to_string(),
             tokens,
         };
         let peers = self.peers.clone();
         compio::runtime::spawn(async move {
-            if let Err(e) = peers.ask::<_, WarmGive>(&addr, WARM, &note).await {
+            if let Err(e) = peers.ask::<_, WarmReply>(&addr, WARM, &note).await {
                 log::debug!("{addr} wasn't told of a chat: {e}");
             }
         })
@@ -202,7 +202,7 @@
     }
 
     /// Answers another router that asks or tells where a chat was served last.
-    pub(crate) fn answer(&self, ask: WarmAsk) -> WarmGive {
+    pub(crate) fn answer(&self, ask: WarmRequest) -> WarmReply {
         let memory = &mut self.state.borrow_mut().memory;
         let chat = ChatKey(ask.chat_key);
         if !ask.upstream.is_empty() {
@@ -211,10 +211,10 @@
                 tokens: ask.tokens,
             };
             memory.put(chat, place, 1);
-            return WarmGive::default();
+            return WarmReply::default();
         }
         let known = memory.get(chat);
-        known.map_or_else(WarmGive::default, |place| WarmGive {
+        known.map_or_else(WarmReply::default, |place| WarmReply {
             upstream: place.upstream.to_string(),
             tokens: place.tokens,
         })
@@ -230,11 +230,11 @@
             return Some(place.clone());
         }
         let addr = self.anchor(forward, pool)?;
-        let ask = WarmAsk {
+        let ask = WarmRequest {
             chat_key: forward.chat_key,
-            ..WarmAsk::default()
+            ..WarmRequest::default()
         };
-        let asked = self.peers.ask::<_, WarmGive>(&addr, WARM, &ask);
+        let asked = self.peers.ask::<_, WarmReply>(&addr, WARM, &ask);
         let given = compio::time::timeout(ASK_TIMEOUT, asked).await.ok()?.ok()?;
         (!given.upstream.is_empty()).then(|| Place {
             upstream: given.upstream.into(),
--- a/src/serve/route/tokens.rs
+++ b/src/serve/route/tokens.rs
@@ -9,7 +9,7 @@
 
 use uuid::Uuid;
 
-use crate::log::claims::{CLOCK_MARGIN_MS, Claims, Standing, Verdict};
+use crate::log::claims::{CLOCK_MARGIN_MS, Claims, KeyStatus, Verdict};
 use crate::schema::records::claim_record::Body;
 use crate::schema::records::{Claim, ClaimRecord};
 use crate::util::Clock;
@@ -70,7 +70,7 @@
         claims.forget(now_ms.saturating_sub(kept_ms));
         claims.apply(record(Body::Claim(claim.clone())), now_ms);
         let verdict = claims.verdict(claim);
-        verdict.unwrap_or(Verdict::Lost(Standing::Free))
+        verdict.unwrap_or(Verdict::Lost(KeyStatus::Free))
     }
 
     pub(crate) fn note(&self, body: Body) {
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -6,7 +6,7 @@
 
 use crate::decide::refusal::Cause;
 use crate::event::Kind;
-use crate::fleet::gossip::Note;
+use crate::fleet::gossip::GossipCommand;
 use crate::front::drain::{Drain, Phase};
 use crate::peers::refuse;
 use crate::schema::peer;
@@ -32,7 +32,7 @@
 pub(crate) async fn run(ctx: &Ctx) {
     let fleet = ctx.settings.fleet.clone().unwrap_or_default();
     enter(ctx, Phase::Leaving);
-    ctx.gossip.note(Note::Leave);
+    ctx.gossip.send(GossipCommand::Leave);
     let news_ms = news_ms(fleet.probe_interval_ms, ctx.fleet().members.len());
     let old_ms = news_ms + u64::from(fleet.entry_ttl_ms);
     compio::time::sleep(Duration::from_millis(old_ms)).await;
@@ -40,7 +40,7 @@
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
     let cut = ctx.drain.ended(limit).await;
     let (done, told) = oneshot::channel();
-    ctx.gossip.note(Note::Goodbye(done));
+    ctx.gossip.send(GossipCommand::Goodbye(done));
     let _ = compio::time::timeout(GOODBYE, told).await;
     ctx.events.emit(Kind::RouterStopped, |e| {
         e.detail = format!("{cut} still in flight at the limit");
--- a/src/outlet.rs
+++ b/src/stdout_writer.rs
@@ -32,15 +32,15 @@
 
 /// A handle to the lines that wait; writing to it never blocks and never fails.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Outlet(Arc<Shared>);
+pub(crate) struct StdoutWriter(Arc<Shared>);
 
-impl Outlet {
+impl StdoutWriter {
     /// Starts the thread that writes to standard output.
     pub(crate) fn spawn() -> Self {
-        let outlet = Self::default();
-        let shared = outlet.0.clone();
+        let writer = Self::default();
+        let shared = writer.0.clone();
         std::thread::spawn(move || write_out(&shared));
-        outlet
+        writer
     }
 
     /// Waits until what was written before has left, at most `limit`.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Write for Outlet {
+impl Write for StdoutWriter {
     /// Takes a whole line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut waiting = self.lock();
