--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -1,7 +1,8 @@
-//! Which upstreams are going away, whoever said so first: a table without sockets or clock.
+//! Which upstreams are leaving, from any source: a table without sockets or a clock of its own.
 //!
-//! The platform's list lags and each router reads it at its own pace, and an engine tells only its
-//! home. Whoever knows keeps saying so; when all have stopped, the upstream takes work again.
+//! The platform's host list lags, each router reads it at its own times, and an engine notifies
+//! only its home. So each router that knows of a leaving upstream repeats it in gossip; once all
+//! have stopped, the upstream takes work again.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,26 +13,26 @@
 use crate::schema::peer::LeavingUpdate;
 use crate::util::Name;
 
-/// What nobody repeated for this long no longer holds.
-pub const LEAVING_KEEP_MS: u64 = 10_000;
-/// See the same in the loads: nothing looks younger by being passed on.
+/// An update that no router has repeated for this long expires.
+pub const LEAVING_TTL_MS: u64 = 10_000;
+/// Added to an age at each hop, as for loads, so that no update looks younger for being passed on.
 const HOP_MS: u64 = 5;
 
-/// Upstreams that are leaving, by who says so.
+/// Upstreams that are leaving, by source.
 #[derive(Debug, Default)]
 pub struct LeavingTable {
     listed: HashSet<u32>,
     signalled: HashSet<u32>,
-    heard: HashMap<u32, u64>,
+    received: HashMap<u32, u64>,
 }
 
 impl LeavingTable {
-    /// Takes over what the platform's list says now.
+    /// Replaces the upstreams that the platform's host list marks as leaving.
     pub fn listed(&mut self, names: &[Name]) {
         self.listed = names.iter().map(|name| digest(name)).collect();
     }
 
-    /// Takes over what an upstream says of itself to this router, its home.
+    /// Records whether an upstream reported to this router, its home, that it is leaving.
     pub fn signalled(&mut self, name: &str, leaving: bool) {
         if leaving {
             self.signalled.insert(digest(name));
@@ -40,50 +41,53 @@
         }
     }
 
-    /// Forgets the signals of upstreams that have another home now.
-    pub fn keep_signals(&mut self, own: impl Fn(u32) -> bool) {
+    /// Drops the reports of upstreams whose home is another router now.
+    pub fn retain_signals(&mut self, own: impl Fn(u32) -> bool) {
         self.signalled.retain(|digest| own(*digest));
     }
 
-    /// Takes over what others say.
-    pub fn merge(&mut self, beats: &[LeavingUpdate], now_ms: u64) {
-        for beat in beats {
-            let at_ms = now_ms.saturating_sub(u64::from(beat.age_ms) + HOP_MS);
-            let known = self.heard.entry(beat.upstream_digest).or_insert(at_ms);
+    /// Merges updates that another router sent.
+    pub fn merge(&mut self, updates: &[LeavingUpdate], now_ms: u64) {
+        for update in updates {
+            let at_ms = now_ms.saturating_sub(u64::from(update.age_ms) + HOP_MS);
+            let known = self.received.entry(update.upstream_digest).or_insert(at_ms);
             *known = at_ms.max(*known);
         }
-        self.heard
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_KEEP_MS);
+        self.received
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LEAVING_TTL_MS);
     }
 
-    /// At most `max` to tell, in random order.
-    pub fn beats<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingUpdate> {
+    /// Returns at most `max` updates to send, in random order.
+    pub fn sample<R: Rng>(&self, max: usize, now_ms: u64, rng: &mut R) -> Vec<LeavingUpdate> {
         let own = self.own().map(|digest| (digest, 0));
         let mut ages: HashMap<u32, u64> = self
-            .heard
+            .received
             .iter()
             .map(|(digest, at_ms)| (*digest, now_ms.saturating_sub(*at_ms)))
-            .filter(|(_, age_ms)| *age_ms < LEAVING_KEEP_MS)
+            .filter(|(_, age_ms)| *age_ms < LEAVING_TTL_MS)
             .collect();
         ages.extend(own);
-        let mut beats: Vec<LeavingUpdate> = ages
+        let mut updates: Vec<LeavingUpdate> = ages
             .into_iter()
             .map(|(upstream_digest, age_ms)| LeavingUpdate {
                 upstream_digest,
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             })
             .collect();
-        beats.sort_unstable_by_key(|beat| beat.upstream_digest);
-        beats.shuffle(rng);
-        beats.truncate(max);
-        beats
+        updates.sort_unstable_by_key(|update| update.upstream_digest);
+        updates.shuffle(rng);
+        updates.truncate(max);
+        updates
     }
 
-    /// Digests of all that take no new work now.
+    /// Returns the digests of all upstreams that take no new work now.
     pub fn known(&self, now_ms: u64) -> HashSet<u32> {
-        let fresh = |at_ms: u64| now_ms.saturating_sub(at_ms) < LEAVING_KEEP_MS;
-        let heard = self.heard.iter().filter(|(_, at_ms)| fresh(**at_ms));
-        heard.map(|(digest, _)| *digest).chain(self.own()).collect()
+        let fresh = |at_ms: u64| now_ms.saturating_sub(at_ms) < LEAVING_TTL_MS;
+        let received = self.received.iter().filter(|(_, at_ms)| fresh(**at_ms));
+        received
+            .map(|(digest, _)| *digest)
+            .chain(self.own())
+            .collect()
     }
 
     fn own(&self) -> impl Iterator<Item = u32> {
--- a/src/path/gate.rs
+++ b/src/path/gate.rs
@@ -115,7 +115,7 @@
         let mut wishes = Vec::new();
         for (service, gate) in self.gates.borrow_mut().iter_mut() {
             let slots_open = state.slots_open(service, now_ms);
-            gate.slots_open = slots_open.map(|p| f64::from(p) * gate.admission.fill());
+            gate.slots_open = slots_open.map(|p| f64::from(p) * gate.admission.requests_per_slot());
             gate.others = state.demands_of_others(service);
             gate.poll(now_ms);
             let wanted = gate.admission.demand();
@@ -131,9 +131,9 @@
     }
 
     /// How long a request to `service` usually takes, once some were seen.
-    pub(crate) fn usual_ms(&self, service: &str) -> Option<f64> {
+    pub(crate) fn typical_ms(&self, service: &str) -> Option<f64> {
         let gates = self.gates.borrow();
-        gates.get(service).and_then(|g| g.admission.usual_ms())
+        gates.get(service).and_then(|g| g.admission.typical_ms())
     }
 
     /// What a refusal at the gate of `service` rests on.
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -134,7 +134,7 @@
         match self.suspects.status(fingerprint, forward.deaths) {
             QuarantineStatus::Free => Ok(false),
             QuarantineStatus::Suspect => Ok(true),
-            QuarantineStatus::Convicted { left_ms } => {
+            QuarantineStatus::Quarantined { left_ms } => {
                 let refusal = Quarantine::refusal(left_ms, &mut rand::rng());
                 let detail = "upstreams died each time they ran this request";
                 Err(refuse::message(&refusal, detail))
@@ -234,7 +234,7 @@
                 }
                 Body::Chunk(_) => None,
                 Body::End(_) => Some(Ended::Whole),
-                Body::Refused(refused) if !refuse::surely_not_run(refused) => {
+                Body::Refused(refused) if !refuse::is_not_run(refused) => {
                     return Ended::Broken(std::mem::take(refused));
                 }
                 Body::Refused(_) => Some(Ended::Refused),
