--- a/benches/log.rs
+++ b/benches/log.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use cassiagrade::log::claimant::{Claimant, Grouping};
+use cassiagrade::log::claimant::{ClaimHandle, ClaimOptions};
 use cassiagrade::log::claims::Verdict;
 use cassiagrade::log::platform::Platform as Client;
 use cassiagrade::log::{Batch, Log, LogError, slot};
@@ -96,11 +96,11 @@
         client,
         read_bytes: read_bytes.clone(),
     };
-    let grouping = Grouping {
+    let grouping = ClaimOptions {
         window: Duration::from_millis(window_ms),
         retention_ms: RETENTION_MS,
     };
-    let claimant = Claimant::spawn(&log, grouping);
+    let claimant = ClaimHandle::spawn(&log, grouping);
     let added_us = Rc::new(RefCell::new(Vec::new()));
     let mut rng = SmallRng::seed_from_u64(1);
     let start = Instant::now();
@@ -128,9 +128,9 @@
     Ok(())
 }
 
-async fn request(claimant: Claimant, added_us: Rc<RefCell<Vec<u128>>>) {
+async fn request(claimant: ClaimHandle, added_us: Rc<RefCell<Vec<u128>>>) {
     let key = Uuid::now_v7();
-    let claim = slot::mint(&format!("acme/{key}"), "router-1", 1, 60_000);
+    let claim = slot::new_claim(&format!("acme/{key}"), "router-1", 1, 60_000);
     let begun = Instant::now();
     let verdict = claimant.claim(claim.clone(), wall_ms()).await;
     added_us.borrow_mut().push(begun.elapsed().as_micros());
@@ -143,7 +143,7 @@
         body: "x".repeat(200),
         body_left_out: false,
     };
-    claimant.note(&claim.key, Body::Outcome(outcome));
+    claimant.append_later(&claim.key, Body::Outcome(outcome));
 }
 
 async fn config() -> Result<()> {
--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -12,7 +12,7 @@
 use crate::log::Log;
 use crate::log::claims::{self, KeyStatus, SLOTS, Verdict};
 use crate::log::group::{Group, LogDown, PendingClaim};
-use crate::log::timer::RealTime;
+use crate::log::timer::SystemTimer;
 use crate::schema::records::Claim;
 use crate::schema::records::claim_record::Body;
 use crate::util::Clock;
@@ -29,7 +29,7 @@
     Lookup(Lookup),
 }
 
-/// A query for the state of a key.
+/// A query for the status of a key.
 struct Lookup {
     key: String,
     key_ms: u64,
@@ -38,7 +38,7 @@
 
 /// Settings for the grouping of claims and their retention.
 #[derive(Clone, Copy, Debug)]
-pub struct Grouping {
+pub struct ClaimOptions {
     /// Minimum time between two appends to one stream.
     pub window: Duration,
     /// The time for which the log keeps every record, in milliseconds.
@@ -47,13 +47,13 @@
 
 /// A handle to the claim tasks.
 #[derive(Clone, Debug)]
-pub struct Claimant {
+pub struct ClaimHandle {
     slots: Arc<[mpsc::Sender<Msg>]>,
 }
 
-impl Claimant {
+impl ClaimHandle {
     /// Starts one task per slot on the current runtime.
-    pub fn spawn<L: Log + Clone + 'static>(log: &L, grouping: Grouping) -> Self {
+    pub fn spawn<L: Log + Clone + 'static>(log: &L, options: ClaimOptions) -> Self {
         let clock = Clock::start();
         let start = |slot| {
             let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
@@ -62,10 +62,10 @@
                 group: Group::new(
                     log.clone(),
                     stream,
-                    RealTime::new(clock),
-                    grouping.retention_ms,
+                    SystemTimer::new(clock),
+                    options.retention_ms,
                 ),
-                window: grouping.window,
+                window: options.window,
                 last_attempt: None,
             };
             compio::runtime::spawn(task.run(rx)).detach();
@@ -93,11 +93,11 @@
         verdict.await.unwrap_or(Err(LogDown))
     }
 
-    /// Reads the log and returns the state of `key` with time `key_ms`.
+    /// Reads the log and returns the status of `key` with time `key_ms`.
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
-    pub async fn look(&self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
+    pub async fn lookup(&self, key: &str, key_ms: u64) -> Result<KeyStatus, LogDown> {
         let (reply, status) = oneshot::channel();
         let lookup = Lookup {
             key: key.to_owned(),
@@ -110,7 +110,7 @@
     }
 
     /// Queues a release or an outcome to be appended with the next group, once the log is up.
-    pub fn note(&self, key: &str, body: Body) {
+    pub fn append_later(&self, key: &str, body: Body) {
         if self.slot(key).try_send(Msg::Append(body)).is_err() {
             metrics::counter!("claim_notes_lost_total").increment(1);
         }
@@ -126,7 +126,7 @@
 struct Stopped;
 
 struct Task<L> {
-    group: Group<L, RealTime>,
+    group: Group<L, SystemTimer>,
     window: Duration,
     /// When the last group was appended, or the last attempt was made to reach the log.
     last_attempt: Option<Instant>,
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -42,7 +42,7 @@
     format!("claims-{slot}")
 }
 
-/// The state of a key after the records read so far.
+/// The status of a key after the records read so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum KeyStatus {
     /// No claim holds the key.
@@ -59,7 +59,7 @@
 pub enum Verdict {
     /// The claim holds the key: its request may run once.
     Won,
-    /// The claim will never hold the key, whose state is this.
+    /// The claim will never hold the key, whose status is this.
     Lost(KeyStatus),
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the state of `key`.
+    /// Returns the status of `key`.
     pub fn status(&self, key: &str) -> KeyStatus {
         self.keys
             .get(key)
@@ -118,7 +118,7 @@
     }
 
     /// Removes keys first seen before `before_ms`. They must be too old to be claimed again.
-    pub fn forget(&mut self, before_ms: u64) {
+    pub fn remove_older_than(&mut self, before_ms: u64) {
         while let Some((at, _)) = self.first_seen.front()
             && *at < before_ms
         {
--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -13,7 +13,7 @@
 
 use crate::log::claims::{self, CLOCK_MARGIN_MS, KeyAge, KeyStatus, Verdict};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::log::group::{Group, LogDown, PendingClaim};
 use crate::log::slot;
 use crate::log::timer::{Now, Timer};
@@ -184,7 +184,7 @@
         }
     }
 
-    async fn pause(&self, _: Duration) {}
+    async fn sleep(&self, _: Duration) {}
 }
 
 type FakeGroup = Group<FakeLog, FakeClock>;
@@ -302,7 +302,7 @@
 
     fn send(&mut self, host: u64, key: u64) {
         let id = self.requests.len() as u64;
-        let mut claim = slot::mint(&key.to_string(), &host.to_string(), 0, 0);
+        let mut claim = slot::new_claim(&key.to_string(), &host.to_string(), 0, 0);
         claim.id = format!("claim-{id}");
         self.requests.push(Request {
             host,
@@ -551,7 +551,7 @@
 /// becomes unavailable, and while readers pause, crash and restart.
 #[test]
 fn non_idempotent_requests_run_at_most_once() {
-    finds_nothing::<Claims>("claims");
+    check_no_failure::<Claims>("claims");
 }
 
 #[test_case(Mutation::AskAgain)]
@@ -560,6 +560,6 @@
 #[test_case(Mutation::GiveUpSilently)]
 #[test_case(Mutation::NeverReadBack)]
 #[test_case(Mutation::NoMargin)]
-fn planted_fault_is_found(fault: Mutation) {
-    finds::<Claims>("claims", fault);
+fn mutation_is_detected(fault: Mutation) {
+    check_mutation_detected::<Claims>("claims", fault);
 }
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -12,7 +12,7 @@
 use crate::log::config::{self, Applied, STREAM};
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
 use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, FollowStatus, Follower};
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::log::timer::{Now, Timer};
 use crate::mutation::Mutation;
 use crate::schema::config::change::Op;
@@ -168,7 +168,7 @@
         Now::default()
     }
 
-    async fn pause(&self, _: Duration) {}
+    async fn sleep(&self, _: Duration) {}
 }
 
 type FakeFollower = Follower<FakeLog, FakePeers, NoSleep>;
@@ -444,7 +444,7 @@
 /// records and becomes unavailable, and while routers pause, are replaced, and fetch states from peers.
 #[test]
 fn accepted_configuration_never_reverts() {
-    finds_nothing::<Configuration>("config");
+    check_no_failure::<Configuration>("config");
 }
 
 #[test_case(Mutation::SnapshotWins)]
@@ -453,6 +453,6 @@
 #[test_case(Mutation::LostIsNotApplied)]
 #[test_case(Mutation::ApplyOverGap)]
 #[test_case(Mutation::LateSnapshot)]
-fn planted_fault_is_found(fault: Mutation) {
-    finds::<Configuration>("config", fault);
+fn mutation_is_detected(fault: Mutation) {
+    check_mutation_detected::<Configuration>("config", fault);
 }
--- a/src/log/config_task.rs
+++ b/src/log/config_task.rs
@@ -10,7 +10,7 @@
 use crate::log::Log;
 use crate::log::config::{self, Applied};
 use crate::log::follow::{ApplyError, ApplyOutcome, ConfigPeers, FollowStatus, Follower};
-use crate::log::timer::RealTime;
+use crate::log::timer::SystemTimer;
 use crate::log::view::ConfigView;
 use crate::schema::config::{Change, State};
 use crate::schema::peer::{ConfigReply, ConfigRequest};
@@ -23,11 +23,11 @@
 type ApplyReply = oneshot::Sender<Result<ApplyOutcome, ApplyError>>;
 
 /// A query for other routers, and the channel for the reply.
-pub type PeerQuestion = (ConfigRequest, oneshot::Sender<Option<ConfigReply>>);
+pub type PeerQuery = (ConfigRequest, oneshot::Sender<Option<ConfigReply>>);
 
 /// Settings for reading the configuration stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Following {
+pub struct FollowOptions {
     /// Interval between reads of the stream.
     pub poll: Duration,
     /// The time for which the log keeps every record.
@@ -49,9 +49,9 @@
     pub fn spawn<L: Log + 'static>(
         log: L,
         host: &str,
-        following: Following,
+        options: FollowOptions,
         events: Events,
-    ) -> (Self, mpsc::Receiver<PeerQuestion>) {
+    ) -> (Self, mpsc::Receiver<PeerQuery>) {
         let (tx, rx) = mpsc::channel(64);
         let (query_tx, query_rx) = mpsc::channel(1);
         let empty = State::default();
@@ -59,9 +59,9 @@
         let (publish, view) = watch::channel(Arc::new(ConfigView::new(empty, digest)));
         let (publish_status, status) = watch::channel(FollowStatus::Starting);
         let task = Task {
-            follower: Follower::new(log, PeerQueries(query_tx), RealTime::new(Clock::start())),
-            poll: following.poll,
-            snapshot_interval: snapshot_interval(host, following.retention),
+            follower: Follower::new(log, PeerQueries(query_tx), SystemTimer::new(Clock::start())),
+            poll: options.poll,
+            snapshot_interval: snapshot_interval(host, options.retention),
             last_snapshot: Instant::now(),
             snapshot: None,
             events,
@@ -114,7 +114,7 @@
     base + base * u32::try_from(share).unwrap_or(0) / 1_000
 }
 
-struct PeerQueries(mpsc::Sender<PeerQuestion>);
+struct PeerQueries(mpsc::Sender<PeerQuery>);
 
 impl ConfigPeers for PeerQueries {
     async fn fetch(&self, fetch: ConfigRequest) -> Option<ConfigReply> {
@@ -125,7 +125,7 @@
 }
 
 struct Task<L> {
-    follower: Follower<L, PeerQueries, RealTime>,
+    follower: Follower<L, PeerQueries, SystemTimer>,
     poll: Duration,
     snapshot_interval: Duration,
     /// When the last snapshot was read or appended.
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -216,7 +216,7 @@
                 Ok(None) => {}
                 Err(e) => detail = e.to_string(),
             }
-            self.timer.pause(CONFIRM_PAUSE).await;
+            self.timer.sleep(CONFIRM_PAUSE).await;
         }
         Err(ApplyError::Unknown { detail })
     }
--- a/src/log/fuzz_tests.rs
+++ b/src/log/fuzz_tests.rs
@@ -14,7 +14,7 @@
 const STEPS: std::ops::Range<usize> = 20..200;
 const SEED: u64 = 20_261_202;
 /// An injected fault must be found within this many cases.
-const PLANT_CASES: u32 = 20_000;
+const MUTATION_CASES: u32 = 20_000;
 
 thread_local! {
     static STEPS_TAKEN: Cell<u64> = const { Cell::new(0) };
@@ -78,7 +78,7 @@
 }
 
 /// Runs the test `name` and fails if a case does. `FUZZ_CASES` and `FUZZ_SEED` override the defaults.
-pub(crate) fn finds_nothing<T>(name: &str)
+pub(crate) fn check_no_failure<T>(name: &str)
 where
     T: StateMachineTest,
     <T::Reference as ReferenceStateMachine>::State: 'static,
@@ -96,7 +96,7 @@
 }
 
 /// Runs the test `name` with `fault` injected and fails if no case does.
-pub(crate) fn finds<T>(name: &str, fault: Mutation)
+pub(crate) fn check_mutation_detected<T>(name: &str, fault: Mutation)
 where
     T: StateMachineTest,
     <T::Reference as ReferenceStateMachine>::State: 'static,
@@ -106,7 +106,7 @@
     set_mutation(Some(fault));
     let config = Config {
         max_shrink_iters: 8,
-        ..config(PLANT_CASES, seed)
+        ..config(MUTATION_CASES, seed)
     };
     let result = run::<T>(config);
     set_mutation(None);
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -78,7 +78,7 @@
         !self.queued.is_empty()
     }
 
-    /// Returns the state of `key` after the records read so far.
+    /// Returns the status of `key` after the records read so far.
     pub fn status(&self, key: &str) -> KeyStatus {
         self.slot.status(key)
     }
@@ -92,7 +92,7 @@
         self.queued.push(body);
     }
 
-    /// Reads the log and returns the state of `key` with time `key_ms`.
+    /// Reads the log and returns the status of `key` with time `key_ms`.
     ///
     /// # Errors
     /// [`LogDown`] when the log can't be read.
@@ -110,7 +110,8 @@
     /// Processes one group of claims. Returns whether it appended anything.
     pub async fn process(&mut self, group: Vec<PendingClaim>) -> bool {
         let mono_ms = self.timer.now().mono_ms;
-        self.slot.forget(mono_ms.saturating_sub(self.retention_ms));
+        self.slot
+            .remove_older_than(mono_ms.saturating_sub(self.retention_ms));
         if !self.can_append_without_reading(&group) {
             let oldest_ms = group.iter().map(|p| p.key_ms).min().unwrap_or(u64::MAX);
             let timer = &self.timer;
@@ -179,7 +180,7 @@
         }
         for round in 0..CONFIRM_READS {
             if round > 0 {
-                self.timer.pause(CONFIRM_PAUSE).await;
+                self.timer.sleep(CONFIRM_PAUSE).await;
             }
             let timer = &self.timer;
             let read = self.slot.catch_up(&|| timer.now()).await;
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -78,7 +78,7 @@
 
 /// Acquires, renews and ends leases for one router.
 #[derive(Debug)]
-pub struct Lessor<L, P> {
+pub struct LeaseManager<L, P> {
     log: L,
     timer: P,
     host: String,
@@ -86,8 +86,8 @@
     granted: HashMap<Name, Granted>,
 }
 
-impl<L: Log, P: Timer> Lessor<L, P> {
-    /// Creates a lessor that has read nothing. `host` must be unique to this incarnation: a restarted
+impl<L: Log, P: Timer> LeaseManager<L, P> {
+    /// Creates a manager that has read nothing. `host` must be unique to this incarnation: a restarted
     /// host must wait for the lease of its previous incarnation like any other host.
     pub fn new(log: L, timer: P, host: String) -> Self {
         Self {
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// When another router may still give orders, or the log can't be read or appended to.
-    pub async fn take(&mut self, upstream: &Name) -> Result<Lease, LeaseError> {
+    pub async fn acquire(&mut self, upstream: &Name) -> Result<Lease, LeaseError> {
         let read = self.read().await;
         read.map_err(|source| LeaseError::Log { source })?;
         let mut taken_over = false;
@@ -127,7 +127,7 @@
                     let lease = self.lease(upstream, fencing, started_ms, taken_over);
                     // The term may have passed in a pause since the append, and a stale read may
                     // not show that another router has taken over.
-                    return if self.holds(&lease) {
+                    return if self.is_held(&lease) {
                         Ok(lease)
                     } else {
                         Err(LeaseError::Unconfirmed)
@@ -135,7 +135,7 @@
                 }
                 self.check_expired(granted)?;
             }
-            self.timer.pause(CONFIRM_PAUSE).await;
+            self.timer.sleep(CONFIRM_PAUSE).await;
         }
         Err(LeaseError::Unconfirmed)
     }
@@ -144,13 +144,13 @@
     ///
     /// # Errors
     /// As [`Log::append`]. If the record isn't appended, the lease expires at the end of its term.
-    pub async fn end(&mut self, lease: &Lease) -> Result<(), LogError> {
+    pub async fn release(&mut self, lease: &Lease) -> Result<(), LogError> {
         let record = self.record(&lease.upstream, lease.fencing + 1);
         self.append(record).await
     }
 
     /// Whether orders may still be given under `lease`.
-    pub fn holds(&self, lease: &Lease) -> bool {
+    pub fn is_held(&self, lease: &Lease) -> bool {
         self.timer.now().mono_ms < lease.until_ms
     }
 
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -10,8 +10,8 @@
 use test_case::test_case;
 
 use crate::log::fake_tests::{FakeLog, Fault, Script, step};
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
-use crate::log::lease::{Lease, LeaseError, Lessor, TERM_MS};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
+use crate::log::lease::{Lease, LeaseError, LeaseManager, TERM_MS};
 use crate::log::timer::{Now, Timer};
 use crate::mutation::Mutation;
 use crate::util::Name;
@@ -114,14 +114,14 @@
         }
     }
 
-    async fn pause(&self, _: Duration) {}
+    async fn sleep(&self, _: Duration) {}
 }
 
-type FakeLessor = Lessor<FakeLog, FakeClock>;
-type Done = (FakeLessor, Option<Result<Lease, LeaseError>>);
+type FakeLeaseManager = LeaseManager<FakeLog, FakeClock>;
+type Done = (FakeLeaseManager, Option<Result<Lease, LeaseError>>);
 
 struct Host {
-    lessor: Option<FakeLessor>,
+    leases: Option<FakeLeaseManager>,
     work: Option<Script<Done>>,
     lease: Option<Lease>,
     /// Until this time the upstream may still receive an order of the previous holder.
@@ -166,7 +166,7 @@
         };
         let name = format!("host-{at}#{}", self.incarnations);
         Host {
-            lessor: Some(Lessor::new(self.log.actor(at), clock, name)),
+            leases: Some(LeaseManager::new(self.log.actor(at), clock, name)),
             work: None,
             lease: None,
             orders_from_ms: 0,
@@ -174,30 +174,30 @@
     }
 
     fn acquire(&mut self, at: usize) {
-        let Some(mut lessor) = self.hosts[at].lessor.take() else {
+        let Some(mut leases) = self.hosts[at].leases.take() else {
             return;
         };
         self.hosts[at].work = Some(Box::pin(async move {
-            let taken = lessor.take(&Name::from("engine-1")).await;
-            (lessor, Some(taken))
+            let taken = leases.acquire(&Name::from("engine-1")).await;
+            (leases, Some(taken))
         }));
         self.advance(at);
     }
 
     fn end(&mut self, at: usize) {
-        if self.hosts[at].lessor.is_none() {
+        if self.hosts[at].leases.is_none() {
             return;
         }
         let Some(lease) = self.hosts[at].lease.take() else {
             return;
         };
-        let Some(mut lessor) = self.hosts[at].lessor.take() else {
+        let Some(mut leases) = self.hosts[at].leases.take() else {
             return;
         };
         self.hosts[at].work = Some(Box::pin(async move {
             // If the append fails, the lease expires.
-            let _ = lessor.end(&lease).await;
-            (lessor, None)
+            let _ = leases.release(&lease).await;
+            (leases, None)
         }));
         self.advance(at);
     }
@@ -218,12 +218,12 @@
 
     fn advance(&mut self, at: usize) {
         let done = self.hosts[at].work.as_mut().and_then(step);
-        let Some((lessor, taken)) = done else {
+        let Some((leases, taken)) = done else {
             return;
         };
         let host = &mut self.hosts[at];
         host.work = None;
-        host.lessor = Some(lessor);
+        host.leases = Some(leases);
         if let Some(Ok(lease)) = taken {
             assert!(
                 lease.fencing + 1 > self.last_lease,
@@ -335,12 +335,12 @@
 /// reads, and while holders pause beyond their term, crash and restart.
 #[test]
 fn lease_has_at_most_one_holder() {
-    finds_nothing::<Leases>("leases");
+    check_no_failure::<Leases>("leases");
 }
 
 #[test_case(Mutation::GrantUnread)]
 #[test_case(Mutation::DontWait)]
 #[test_case(Mutation::TermFromGrant)]
-fn planted_fault_is_found(fault: Mutation) {
-    finds::<Leases>("leases", fault);
+fn mutation_is_detected(fault: Mutation) {
+    check_mutation_detected::<Leases>("leases", fault);
 }
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the state of `key` after the records read so far.
+    /// Returns the status of `key` after the records read so far.
     pub fn status(&self, key: &str) -> KeyStatus {
         self.claims.status(key)
     }
@@ -68,8 +68,8 @@
     }
 
     /// Removes keys first seen before `before_ms` on the monotonic clock.
-    pub fn forget(&mut self, before_ms: u64) {
-        self.claims.forget(before_ms);
+    pub fn remove_older_than(&mut self, before_ms: u64) {
+        self.claims.remove_older_than(before_ms);
     }
 
     /// Reads to the end of the stream, and backwards until every claim of a key with time `key_ms`
@@ -219,14 +219,14 @@
 }
 
 /// Returns a new unique id for a claim.
-pub fn mint_id() -> String {
+pub fn new_claim_id() -> String {
     Uuid::now_v7().to_string()
 }
 
 /// Returns a new claim of `key` by `host`.
-pub fn mint(key: &str, host: &str, fingerprint: u64, run_ms: u64) -> Claim {
+pub fn new_claim(key: &str, host: &str, fingerprint: u64, run_ms: u64) -> Claim {
     Claim {
-        id: mint_id(),
+        id: new_claim_id(),
         key: key.to_owned(),
         host: host.to_owned(),
         fingerprint,
--- a/src/log/timer.rs
+++ b/src/log/timer.rs
@@ -19,20 +19,20 @@
     fn now(&self) -> Now;
 
     /// Sleeps for `time`.
-    fn pause(&self, time: Duration) -> impl Future<Output = ()>;
+    fn sleep(&self, time: Duration) -> impl Future<Output = ()>;
 }
 
 /// The real clocks of the host.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RealTime(Clock);
+pub(crate) struct SystemTimer(Clock);
 
-impl RealTime {
+impl SystemTimer {
     pub(crate) fn new(clock: Clock) -> Self {
         Self(clock)
     }
 }
 
-impl Timer for RealTime {
+impl Timer for SystemTimer {
     fn now(&self) -> Now {
         Now {
             wall_ms: wall_ms(),
@@ -40,7 +40,7 @@
         }
     }
 
-    async fn pause(&self, time: Duration) {
+    async fn sleep(&self, time: Duration) {
         compio::time::sleep(time).await;
     }
 }
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -7,7 +7,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use test_case::test_case;
 
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::mutation::Mutation;
 use crate::path::news_fake_tests::Tell;
 use crate::path::news_world_tests::{ROUTERS, SLEPT_MS, World, host};
@@ -130,7 +130,7 @@
 /// never said, goes back, or takes old news for fresh, and all agree soon after.
 #[test]
 fn beliefs_follow_the_log() {
-    finds_nothing::<Fleet>("beliefs");
+    check_no_failure::<Fleet>("beliefs");
 }
 
 #[test_case(Mutation::BelieveOldMarks)]
@@ -141,5 +141,5 @@
 #[test_case(Mutation::DoubtNothing)]
 #[test_case(Mutation::HoldRemovalsBack)]
 fn planted_fault_is_found(fault: Mutation) {
-    finds::<Fleet>("beliefs", fault);
+    check_mutation_detected::<Fleet>("beliefs", fault);
 }
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -25,7 +25,7 @@
 use crate::path::router_state::{RetryLimit, RouterState};
 use crate::path::{Path, callers, peers, stop, tend};
 use crate::peers::{PeerClient, Probes, probes};
-use crate::platform::{Fleet, Headers, Pages, Store, follow_orders, follow_upstreams};
+use crate::platform::{Headers, Pages, RouterRegistry, Store, follow_orders, follow_upstreams};
 use crate::router::{AddrSnafu, BindSnafu, Outputs, RouterError};
 use crate::schema::settings::{Limits, Listen, Settings};
 use crate::serve::admin;
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Routed {
     path: Rc<Path<Headers>>,
-    fleet: Rc<Fleet>,
+    fleet: Rc<RouterRegistry>,
     started_with: Rc<Settings>,
     entry_ttl: Rc<Cell<Duration>>,
     grace: Rc<Cell<Duration>>,
@@ -92,7 +92,7 @@
         let platform = settings.platform.clone().unwrap_or_default();
         let store = parse("platform.addr", &platform.addr)?;
         let open = move || Store::open(store);
-        let fleet = Fleet::new(open(), me, probes.gossip, path.fleet.clone());
+        let fleet = RouterRegistry::new(open(), me, probes.gossip, path.fleet.clone());
         let key: Name = policy.key.as_str().into();
         let bound = peers::bind(peer_addr, key, path.clone()).await;
         bound.context(BindSnafu { field: "peer_addr" })?;
@@ -143,7 +143,7 @@
     /// time of the settings.
     pub async fn drain(&self) {
         let fleet = self.fleet.clone();
-        compio::runtime::spawn(async move { fleet.leave().await }).detach();
+        compio::runtime::spawn(async move { fleet.deregister().await }).detach();
         stop::run(&self.path, self.entry_ttl.get(), self.grace.get()).await;
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -16,8 +16,8 @@
 use crate::fleet::swim::SwimPolicy;
 use crate::front::Drain;
 use crate::log::LogError;
-use crate::log::claimant::Claimant;
-use crate::log::config_task::{ConfigHandle, Following, PeerQuestion};
+use crate::log::claimant::ClaimHandle;
+use crate::log::config_task::{ConfigHandle, FollowOptions, PeerQuery};
 use crate::log::platform::Platform;
 use crate::peers::{PeerClient, Probes, probes, server};
 use crate::schema::settings::{Fleet, Listen, Settings};
@@ -167,7 +167,7 @@
     listen: &Listen,
     socket: UdpSocket,
     out: Option<Box<dyn Write + Send>>,
-) -> Result<(Ctx, mpsc::Receiver<PeerQuestion>), RouterError> {
+) -> Result<(Ctx, mpsc::Receiver<PeerQuery>), RouterError> {
     let host = settings.host.clone().unwrap_or_default();
     let platform = settings.platform.clone().unwrap_or_default();
     let name: Name = host.name.into();
@@ -175,7 +175,7 @@
     let events = Events::open(name.clone(), data_center.clone(), out);
     let timeout = Duration::from_millis(platform.timeout_ms.into());
     let client = Platform::open(&platform.addr, timeout).context(PlatformSnafu)?;
-    let following = Following {
+    let following = FollowOptions {
         poll: Duration::from_millis(platform.log_poll_ms.into()),
         retention: Duration::from_millis(platform.retention_ms),
     };
@@ -190,7 +190,7 @@
         http: cyper::Client::new().context(ClientSnafu)?,
         events: events.clone(),
     });
-    let claims = Claimant::spawn(&client, grouping(&platform));
+    let claims = ClaimHandle::spawn(&client, grouping(&platform));
     let peer_addr = socket
         .local_addr()
         .context(BindSnafu { field: "peer_addr" })?;
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -25,7 +25,7 @@
 use crate::fleet::gossip::Gossip;
 use crate::fleet::member::{MemberState, View};
 use crate::front::Drain;
-use crate::log::claimant::Claimant;
+use crate::log::claimant::ClaimHandle;
 use crate::log::config_task::ConfigHandle;
 use crate::log::follow::FollowStatus;
 use crate::log::view::ConfigView;
@@ -44,7 +44,7 @@
     pub(crate) clock: Clock,
     pub(crate) events: Events,
     pub(crate) config_handle: ConfigHandle,
-    pub(crate) claims: Claimant,
+    pub(crate) claims: ClaimHandle,
     pub(crate) tokens: Tokens,
     pub(crate) orders: operator::orders::Orders,
     pub(crate) config: watch::Receiver<Arc<ConfigView>>,
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -18,8 +18,8 @@
 
 use crate::event::{Events, Kind};
 use crate::log::Log;
-use crate::log::lease::{Lease, LeaseError, Lessor};
-use crate::log::timer::RealTime;
+use crate::log::lease::{Lease, LeaseError, LeaseManager};
+use crate::log::timer::SystemTimer;
 use crate::log::view::ConfigView;
 use crate::schema::config::Upstream;
 use crate::schema::operator::{OrderReply, OrderRequest};
@@ -63,7 +63,7 @@
         // A replaced host is a new holder: it waits for what its predecessor left under way.
         let holder = format!("{}#{}", start.host, Uuid::now_v7().simple());
         let task = Task {
-            lessor: Lessor::new(start.log, RealTime::new(start.clock), holder),
+            leases: LeaseManager::new(start.log, SystemTimer::new(start.clock), holder),
             clock: start.clock,
             config: start.config,
             http: start.http,
@@ -110,7 +110,7 @@
 }
 
 struct Task<L> {
-    lessor: Lessor<L, RealTime>,
+    leases: LeaseManager<L, SystemTimer>,
     clock: Clock,
     config: watch::Receiver<Arc<ConfigView>>,
     http: cyper::Client,
@@ -140,7 +140,7 @@
             return refused("upstream: names no upstream");
         };
         let name = Name::from(upstream.name.as_str());
-        let lease = match self.lessor.take(&name).await {
+        let lease = match self.leases.acquire(&name).await {
             Ok(lease) => lease,
             Err(e @ LeaseError::Held { .. }) => return refused(&e.to_string()),
             Err(e) => return refused(&format!("not given: {e}")),
@@ -156,7 +156,7 @@
         let given = self
             .until_it_matches(&upstream, &lease, action, request)
             .await;
-        if self.lessor.end(&lease).await.is_ok() {
+        if self.leases.release(&lease).await.is_ok() {
             self.note(Kind::LeaseEnded, &lease, "");
         }
         given
@@ -172,7 +172,7 @@
         let mut detail = String::new();
         for _ in 0..ROUNDS {
             // A paused holder that resumes gives no order from before.
-            if !self.lessor.holds(lease) {
+            if !self.leases.is_held(lease) {
                 return reply(lease, false, "the lease ran out; order again");
             }
             let body = OrderBody {
--- a/src/serve/peers/states.rs
+++ b/src/serve/peers/states.rs
@@ -3,7 +3,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::member::Member;
-use crate::log::config_task::PeerQuestion;
+use crate::log::config_task::PeerQuery;
 use crate::peers::{CONFIG, PeerClient};
 use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::serve::SharedCtx;
@@ -15,7 +15,7 @@
 pub(crate) async fn answer(
     ctx: SharedCtx,
     peers: PeerClient,
-    mut questions: mpsc::Receiver<PeerQuestion>,
+    mut questions: mpsc::Receiver<PeerQuery>,
 ) {
     let mut turn = 0;
     while let Some((ask, reply)) = questions.recv().await {
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::fleet::homes;
-use crate::log::claimant::Grouping;
+use crate::log::claimant::ClaimOptions;
 use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
@@ -46,12 +46,14 @@
                 Ok(give) => return verdict(give),
                 Err(e) => log::debug!("claims reader {addr}: {e}"),
             }
-            let given_up = std::mem::replace(&mut claim.id, slot::mint_id());
+            let given_up = std::mem::replace(&mut claim.id, slot::new_claim_id());
             let release = Release {
                 id: given_up,
                 key: claim.key.clone(),
             };
-            self.ctx.claims.note(&claim.key, Record::Release(release));
+            self.ctx
+                .claims
+                .append_later(&claim.key, Record::Release(release));
         }
         self.ctx.claims.claim(claim.clone(), key_ms).await
     }
@@ -91,15 +93,15 @@
 pub(crate) fn take_note(ctx: &SharedCtx, note: ClaimUpdate) -> Done {
     if let Some(claim) = note.claim {
         let key = claim.key.clone();
-        ctx.claims.note(&key, Record::Claim(claim));
+        ctx.claims.append_later(&key, Record::Claim(claim));
     }
     if let Some(release) = note.release {
         let key = release.key.clone();
-        ctx.claims.note(&key, Record::Release(release));
+        ctx.claims.append_later(&key, Record::Release(release));
     }
     if let Some(outcome) = note.outcome {
         let key = outcome.key.clone();
-        ctx.claims.note(&key, Record::Outcome(outcome));
+        ctx.claims.append_later(&key, Record::Outcome(outcome));
     }
     Done {}
 }
@@ -143,8 +145,8 @@
 }
 
 /// How the settings say that claims are grouped.
-pub(crate) fn grouping(platform: &Platform) -> Grouping {
-    Grouping {
+pub(crate) fn grouping(platform: &Platform) -> ClaimOptions {
+    ClaimOptions {
         window: Duration::from_millis(platform.claim_window_ms.into()),
         retention_ms: platform.retention_ms,
     }
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -93,7 +93,7 @@
         }
         let key = self.key(&forward)?;
         self.usable(&key)?;
-        let mut claim = slot::mint(
+        let mut claim = slot::new_claim(
             &key.scoped,
             &self.ctx.host,
             fingerprint(&forward),
@@ -167,7 +167,7 @@
     ) -> Result<Started, peer::Refusal> {
         key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(forward);
-        match self.ctx.claims.look(&claim.key, at_ms).await {
+        match self.ctx.claims.lookup(&claim.key, at_ms).await {
             Ok(status @ KeyStatus::Done(..)) => self.resent(&claim, status),
             _ => Err(lost(
                 "the router that this key names is gone; nobody knows whether it ran",
@@ -177,7 +177,7 @@
 
     fn scoped_claim(&self, forward: &Forward) -> Claim {
         let scoped = format!("{}/{}", forward.account, forward.idempotency_key);
-        slot::mint(
+        slot::new_claim(
             &scoped,
             &self.ctx.host,
             fingerprint(forward),
--- a/src/serve/route/tokens.rs
+++ b/src/serve/route/tokens.rs
@@ -67,7 +67,7 @@
         let mut claims = self.claims.borrow_mut();
         // By then the key is too old to be used, whichever way the wall clock was set.
         let kept_ms = TOKEN_MS + 4 * CLOCK_MARGIN_MS;
-        claims.forget(now_ms.saturating_sub(kept_ms));
+        claims.remove_older_than(now_ms.saturating_sub(kept_ms));
         claims.apply(record(Body::Claim(claim.clone())), now_ms);
         let verdict = claims.verdict(claim);
         verdict.unwrap_or(Verdict::Lost(KeyStatus::Free))
