--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -1,4 +1,4 @@
-//! Tasks that claim keys, one task per slot.
+//! Tasks that claim keys, one task per hash slot.
 //!
 //! A claim is appended immediately if the last append is at least one window ago. Otherwise claims
 //! are grouped until the window has passed, so that a stream gets at most one append per window.
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -14,7 +14,7 @@
 use crate::schema::records::{Claim, ClaimRecord, Outcome, Release};
 use crate::util::{self, Name};
 
-/// Number of streams over which keys are distributed.
+/// Number of hash slots over which keys are distributed; each has its own stream.
 ///
 /// A constant, not a setting: two routers with different values would claim the same key in two
 /// streams, and both would win. With one append per stream per 60 ms window, eight streams stay
--- a/src/log/config_task.rs
+++ b/src/log/config_task.rs
@@ -117,9 +117,9 @@
 struct PeerQueries(mpsc::Sender<PeerQuery>);
 
 impl ConfigPeers for PeerQueries {
-    async fn fetch(&self, fetch: ConfigRequest) -> Option<ConfigReply> {
+    async fn fetch(&self, request: ConfigRequest) -> Option<ConfigReply> {
         let (reply, answer) = oneshot::channel();
-        self.0.send((fetch, reply)).await.ok()?;
+        self.0.send((request, reply)).await.ok()?;
         answer.await.ok().flatten()
     }
 }
@@ -144,7 +144,7 @@
             let events = self.events.clone();
             self.follower.poll(&mut |a, s| emit(&events, a, s)).await;
             self.publish();
-            self.write_snapshot().await;
+            self.write_snapshot_if_due().await;
             match compio::time::timeout(self.poll, rx.recv()).await {
                 Ok(Some((change, reply))) => {
                     let emit = &mut |a: &Applied, s: &State| emit(&events, a, s);
@@ -173,7 +173,7 @@
         }
     }
 
-    async fn write_snapshot(&mut self) {
+    async fn write_snapshot_if_due(&mut self) {
         if self.follower.snapshot() != self.snapshot {
             self.snapshot = self.follower.snapshot();
             self.last_snapshot = Instant::now();
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -23,7 +23,7 @@
 /// Fetches the configuration from other routers.
 pub trait ConfigPeers {
     /// Returns one peer's reply, or `None` if no peer replies.
-    fn fetch(&self, fetch: ConfigRequest) -> impl Future<Output = Option<ConfigReply>>;
+    fn fetch(&self, request: ConfigRequest) -> impl Future<Output = Option<ConfigReply>>;
 }
 
 /// The result of a change, as reported to the operator.
@@ -314,25 +314,25 @@
 
     /// Fetches a peer's state and takes it if it is newer and matches its digest.
     async fn fetch_from_peer(&mut self) {
-        let fetch = ConfigRequest {
+        let request = ConfigRequest {
             have_offset: self.fold.next_offset(),
             have_digest: self.fold.digest(),
         };
-        let same_offset = fetch.have_offset;
-        let Some(give) = self.peers.fetch(fetch).await else {
+        let same_offset = request.have_offset;
+        let Some(reply) = self.peers.fetch(request).await else {
             return;
         };
-        match give.state {
-            Some(state) if config::digest(&state) == give.digest => {
+        match reply.state {
+            Some(state) if config::digest(&state) == reply.digest => {
                 self.fold.restore(state);
             }
             Some(_) => log::warn!(
                 "a peer's configuration doesn't match its digest; keeping the state at offset {same_offset}"
             ),
             // A router that has read nothing has no digest to compare.
-            None if give.offset == same_offset && same_offset > 0 => {
+            None if reply.offset == same_offset && same_offset > 0 => {
                 invariant(
-                    give.digest == self.fold.digest(),
+                    reply.digest == self.fold.digest(),
                     "two routers differ at one offset of the configuration",
                 );
             }
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -57,7 +57,7 @@
 }
 
 impl<L: Log, P: Timer> Group<L, P> {
-    /// Creates a group of which nothing has been read.
+    /// Creates a group whose stream has not been read.
     pub fn new(log: L, stream: String, timer: P, retention_ms: u64) -> Self {
         Self {
             slot: Slot::new(log, stream),
@@ -126,7 +126,7 @@
         if undecided.is_empty() && queued.is_empty() {
             return false;
         }
-        let claims = undecided.iter().map(|w| Body::Claim(w.claim.clone()));
+        let claims = undecided.iter().map(|p| Body::Claim(p.claim.clone()));
         let bodies = queued.iter().cloned().chain(claims).collect();
         match self.slot.append(bodies).await {
             Ok(end) => self.confirm(undecided, Some(end)).await,
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -36,7 +36,7 @@
 }
 
 impl<L: Log> Slot<L> {
-    /// Creates a slot of which nothing has been read.
+    /// Creates a slot whose stream has not been read.
     pub fn new(log: L, stream: String) -> Self {
         Self {
             log,
