--- a/src/router.rs
+++ b/src/router.rs
@@ -23,9 +23,9 @@
 use crate::schema::settings::{Fleet, Listen, Settings};
 use crate::serve::home::Homes;
 use crate::serve::operator::orders::{self, Orders};
-use crate::serve::peers::{Answers, join, states};
+use crate::serve::peers::{PeerService, join, states};
 use crate::serve::route::Dispatch;
-use crate::serve::{Admin, Callers, Ctx, Operators, SharedCtx, Tokens, grouping, stop};
+use crate::serve::{Admin, Callers, Ctx, Operators, RunKeys, SharedCtx, grouping, stop};
 use crate::util::{Clock, Name, wall_ms};
 
 /// Why a router can't start.
@@ -111,7 +111,7 @@
         let peers = PeerClient::new(&fleet_key, ctx.events.clone());
         compio::runtime::spawn(states::answer(ctx.clone(), peers.clone(), questions)).detach();
         let dispatch = Dispatch::new(ctx.clone(), homes.clone(), peers.clone(), http);
-        let answers = Answers {
+        let answers = PeerService {
             ctx: ctx.clone(),
             dispatch: dispatch.clone(),
         };
@@ -181,8 +181,8 @@
     };
     let (config_handle, questions) =
         ConfigHandle::spawn(client.clone(), &name, following, events.clone());
-    let tokens = Tokens::new(&name, Clock::start());
-    let orders = Orders::spawn(orders::Start {
+    let run_keys = RunKeys::new(&name, Clock::start());
+    let orders = Orders::spawn(orders::Setup {
         log: client.clone(),
         host: name.clone(),
         clock: Clock::start(),
@@ -205,7 +205,7 @@
     };
     let clock = Clock::start();
     let fleet = settings.fleet.clone().unwrap_or_default();
-    let probes = Probes::spawn(probes::Start {
+    let probes = Probes::spawn(probes::Options {
         socket,
         policy: swim_policy(&fleet),
         fleet_key: fleet.key,
@@ -224,7 +224,7 @@
         config: config_handle.view(),
         config_handle,
         claims,
-        tokens,
+        run_keys,
         orders,
         fleet: probes.view,
         gossip: probes.gossip,
