--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -8,7 +8,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use test_case::test_case;
 
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::mutation::Mutation;
 use crate::path::news_fake_tests::UpstreamWrite;
 use crate::path::news_world_tests::{ROUTERS, SUSPENSION_MS, World, host};
@@ -133,7 +133,7 @@
 /// agree soon after.
 #[test]
 fn state_of_routers_follows_the_log() {
-    finds_nothing::<Fleet>("beliefs");
+    check_no_failure::<Fleet>("beliefs");
 }
 
 #[test_case(Mutation::BelieveOldMarks)]
@@ -144,5 +144,5 @@
 #[test_case(Mutation::DoubtNothing)]
 #[test_case(Mutation::HoldRemovalsBack)]
 fn mutation_is_found(mutation: Mutation) {
-    finds::<Fleet>("beliefs", mutation);
+    check_mutation_detected::<Fleet>("beliefs", mutation);
 }
--- a/src/serve/operator/orders.rs
+++ b/src/serve/operator/orders.rs
@@ -18,8 +18,8 @@
 
 use crate::event::{Events, Kind};
 use crate::log::Log;
-use crate::log::lease::{Lease, LeaseError, Lessor};
-use crate::log::timer::RealTime;
+use crate::log::lease::{Lease, LeaseError, LeaseManager};
+use crate::log::timer::SystemTimer;
 use crate::log::view::ConfigView;
 use crate::schema::config::Upstream;
 use crate::schema::operator::{OrderReply, OrderRequest};
@@ -63,7 +63,7 @@
         // A restarted router is a new holder, so it waits for its predecessor's orders in transit.
         let holder = format!("{}#{}", setup.host, Uuid::now_v7().simple());
         let task = Task {
-            lessor: Lessor::new(setup.log, RealTime::new(setup.clock), holder),
+            leases: LeaseManager::new(setup.log, SystemTimer::new(setup.clock), holder),
             clock: setup.clock,
             config: setup.config,
             http: setup.http,
@@ -110,7 +110,7 @@
 }
 
 struct Task<L> {
-    lessor: Lessor<L, RealTime>,
+    leases: LeaseManager<L, SystemTimer>,
     clock: Clock,
     config: watch::Receiver<Arc<ConfigView>>,
     http: cyper::Client,
@@ -140,7 +140,7 @@
             return refused("upstream: no upstream has this name");
         };
         let name = Name::from(upstream.name.as_str());
-        let lease = match self.lessor.take(&name).await {
+        let lease = match self.leases.acquire(&name).await {
             Ok(lease) => lease,
             Err(e @ LeaseError::Held { .. }) => return refused(&e.to_string()),
             Err(e) => return refused(&format!("order not sent: {e}")),
@@ -156,7 +156,7 @@
         let outcome = self
             .send_until_applied(&upstream, &lease, action, request)
             .await;
-        if self.lessor.end(&lease).await.is_ok() {
+        if self.leases.release(&lease).await.is_ok() {
             self.emit(Kind::LeaseEnded, &lease, "");
         }
         outcome
@@ -172,7 +172,7 @@
         let mut detail = String::new();
         for _ in 0..MAX_ROUNDS {
             // A holder that was suspended must not send an order under an expired lease.
-            if !self.lessor.holds(lease) {
+            if !self.leases.is_held(lease) {
                 return reply(lease, false, "the lease expired; order again");
             }
             let body = OrderBody {
--- a/src/serve/route/claim_link.rs
+++ b/src/serve/route/claim_link.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::fleet::homes;
-use crate::log::claimant::Grouping;
+use crate::log::claimant::ClaimOptions;
 use crate::log::claims::{self, KeyStatus, Verdict};
 use crate::log::group::LogDown;
 use crate::log::slot;
@@ -46,12 +46,14 @@
                 Ok(reply) => return from_reply(reply),
                 Err(e) => log::debug!("claim at reader {addr} failed, reading the slot here: {e}"),
             }
-            let abandoned = std::mem::replace(&mut claim.id, slot::mint_id());
+            let abandoned = std::mem::replace(&mut claim.id, slot::new_claim_id());
             let release = Release {
                 id: abandoned,
                 key: claim.key.clone(),
             };
-            self.ctx.claims.note(&claim.key, Record::Release(release));
+            self.ctx
+                .claims
+                .append_later(&claim.key, Record::Release(release));
         }
         self.ctx.claims.claim(claim.clone(), key_ms).await
     }
@@ -91,15 +93,15 @@
 pub(crate) fn handle_update(ctx: &SharedCtx, update: ClaimUpdate) -> Done {
     if let Some(claim) = update.claim {
         let key = claim.key.clone();
-        ctx.claims.note(&key, Record::Claim(claim));
+        ctx.claims.append_later(&key, Record::Claim(claim));
     }
     if let Some(release) = update.release {
         let key = release.key.clone();
-        ctx.claims.note(&key, Record::Release(release));
+        ctx.claims.append_later(&key, Record::Release(release));
     }
     if let Some(outcome) = update.outcome {
         let key = outcome.key.clone();
-        ctx.claims.note(&key, Record::Outcome(outcome));
+        ctx.claims.append_later(&key, Record::Outcome(outcome));
     }
     Done {}
 }
@@ -143,8 +145,8 @@
 }
 
 /// Returns the settings for grouping claims.
-pub(crate) fn grouping(platform: &Platform) -> Grouping {
-    Grouping {
+pub(crate) fn grouping(platform: &Platform) -> ClaimOptions {
+    ClaimOptions {
         window: Duration::from_millis(platform.claim_window_ms.into()),
         retention_ms: platform.retention_ms,
     }
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -93,7 +93,7 @@
         }
         let key = self.key(&forward)?;
         self.check_age(&key)?;
-        let mut claim = slot::mint(
+        let mut claim = slot::new_claim(
             &key.scoped,
             &self.ctx.host,
             fingerprint(&forward),
@@ -169,7 +169,7 @@
     ) -> Result<Started, peer::Refusal> {
         check_key_age(claims::age(at_ms, wall_ms(), RUN_KEY_USABLE_MS))?;
         let claim = self.scoped_claim(forward);
-        match self.ctx.claims.look(&claim.key, at_ms).await {
+        match self.ctx.claims.lookup(&claim.key, at_ms).await {
             Ok(status @ KeyStatus::Done(..)) => self.answer_resend(&claim, status),
             _ => Err(outcome_unknown(
                 "the router that this key names is gone; nobody knows whether it ran",
@@ -179,7 +179,7 @@
 
     fn scoped_claim(&self, forward: &Forward) -> Claim {
         let scoped = format!("{}/{}", forward.account, forward.idempotency_key);
-        slot::mint(
+        slot::new_claim(
             &scoped,
             &self.ctx.host,
             fingerprint(forward),
