--- a/src/cmd/account.rs
+++ b/src/cmd/account.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade account`: client accounts.
+//! `cassiagrade account`: manages client accounts.
 
 use bpaf::Bpaf;
 use sha2::{Digest, Sha256};
@@ -19,18 +19,18 @@
     action: Action,
 }
 
-/// What is to be done.
+/// Operation to run.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Action {
-    /// Creates or changes one.
+    /// Creates or changes an account.
     Put(#[bpaf(external(put))] Put),
-    /// Lists all.
+    /// Lists all accounts.
     List(#[bpaf(external(list))] List),
-    /// Deletes one.
+    /// Deletes an account.
     Delete(#[bpaf(external(delete))] Delete),
 }
 
-/// Creates an account, or changes what is given of one.
+/// Creates an account, or changes the given fields of one.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("put"),
@@ -41,25 +41,25 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// Key its callers send; only its SHA-256 digest leaves this command
+    /// Key that its callers send; only its SHA-256 digest is sent to the router
     #[bpaf(long, argument("KEY"))]
     caller_key: Option<String>,
-    /// The digest itself, as 64 hex digits
+    /// SHA-256 digest of the callers' key, as 64 hex digits
     #[bpaf(long, argument("HEX"))]
     key_sha256: Option<String>,
-    /// Its share of a full engine, against the other accounts' weights
+    /// Weight of its share of a busy engine, relative to other accounts
     #[bpaf(long, argument("WEIGHT"))]
     weight: Option<f64>,
-    /// Requests a second over the whole fleet; 0 for no limit
+    /// Limit on requests per second over the whole fleet; 0 for no limit
     #[bpaf(long, argument("RATE"))]
     rate_per_s: Option<f64>,
-    /// Requests at once over the whole fleet; 0 for no limit
+    /// Limit on concurrent requests over the whole fleet; 0 for no limit
     #[bpaf(long, argument("COUNT"))]
     concurrency: Option<u32>,
-    /// Highest priority it may ask for: urgent, normal or batch
+    /// Highest priority its requests may have: urgent, normal or batch
     #[bpaf(long, argument("PRIORITY"))]
     priority: Option<String>,
-    /// Refuse its requests: true or false
+    /// Whether its requests are refused: true or false
     #[bpaf(long, argument("BOOL"))]
     suspended: Option<bool>,
     /// The account's name
@@ -94,7 +94,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     match args.action {
         Action::Put(put) => client::change(&put.target, &put.terms, |state| {
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -28,7 +28,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the change is rejected or its outcome isn't known.
+/// When the change is rejected or its outcome is unknown.
 pub fn run(args: Args) -> Result<(), CmdError> {
     let op: Op = serde_json::from_str(&args.change).map_err(|e| CmdError::Argument {
         argument: "CHANGE",
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade check`: checks a settings file and prints it with its defaults.
+//! `cassiagrade check`: validates a settings file and prints it with defaults filled in.
 
 use std::path::PathBuf;
 
@@ -7,17 +7,17 @@
 use crate::cmd::CmdError;
 use crate::schema::settings::Settings;
 
-/// What stands for a key in the output.
+/// Printed instead of a key.
 const HIDDEN: &str = "(hidden)";
 
-/// Checks a settings file and prints it with its defaults.
+/// Validates a settings file and prints it with defaults filled in.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("check"),
     footer("Example: cassiagrade check settings/example.jsonc")
 )]
 pub struct Args {
-    /// Print the keys too
+    /// Print keys in plain text
     #[bpaf(long)]
     show_keys: bool,
     /// Settings file, JSON with comments
@@ -28,7 +28,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// Every fault of the file, with its line and field.
+/// Lists every fault of the file with its line and field.
 pub fn run(args: Args) -> Result<(), CmdError> {
     let mut settings = crate::config::load(&args.settings)?;
     if !args.show_keys {
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Output ends up in logs and tickets; keys must not.
+/// Replaces the keys, because the output may be copied into logs and tickets.
 fn hide_keys(settings: &mut Settings) {
     if let Some(fleet) = &mut settings.fleet {
         HIDDEN.clone_into(&mut fleet.key);
--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -1,4 +1,4 @@
-//! What all operator calls share: which router, which key, which output, and how a change is made.
+//! Shared code of operator calls: router address, key, output format and configuration changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use bpaf::Bpaf;
 use serde::Serialize;
 
-use crate::cmd::{CmdError, RacedSnafu, RejectedSnafu, TimedOutSnafu, block_on};
+use crate::cmd::{CmdError, ConflictSnafu, RejectedSnafu, TimedOutSnafu, block_on};
 use crate::schema::config::change::Op;
 use crate::schema::config::{Change, State};
 use crate::schema::operator::{ApplyReply, ApplyRequest};
@@ -14,7 +14,7 @@
 
 const TIMEOUT_MS: u64 = 30_000;
 
-/// Which router to call, and how to print its answer.
+/// Router to call, and output options.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Target {
     /// Operator address of any router
@@ -26,46 +26,46 @@
     /// Print JSON
     #[bpaf(long)]
     pub(crate) json: bool,
-    /// Give up after this long
+    /// Timeout of the whole command
     #[bpaf(long, argument("MS"), fallback(TIMEOUT_MS), display_fallback)]
     pub(crate) timeout_ms: u64,
 }
 
-/// How a change is made.
+/// Options of a configuration change.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Terms {
-    /// The version the change is made against; the one in force if not given
+    /// Configuration version that the change is based on; the current one if not given
     #[bpaf(long, argument("VERSION"))]
     pub(crate) against: Option<u64>,
-    /// Who makes the change, for the record
+    /// Author of the change, stored with it
     #[bpaf(long, env("USER"), argument("NAME"), fallback("cassiagrade".to_owned()))]
     pub(crate) author: String,
 }
 
-/// Calls the router within the time given.
+/// Connects to the router and runs `work` within the timeout of `target`.
 pub(crate) fn call<T, F>(target: &Target, work: F) -> Result<T, CmdError>
 where
     F: AsyncFnOnce(&mut OperatorCaller) -> Result<T, CmdError>,
 {
     let timeout_ms = target.timeout_ms;
     block_on(async {
-        let whole = async {
+        let session = async {
             let mut caller = OperatorCaller::open(target.router, &target.key).await?;
             work(&mut caller).await
         };
-        compio::time::timeout(Duration::from_millis(timeout_ms), whole)
+        compio::time::timeout(Duration::from_millis(timeout_ms), session)
             .await
             .unwrap_or_else(|_| TimedOutSnafu { timeout_ms }.fail())
     })?
 }
 
-/// The configuration in force at the router.
+/// Returns the current configuration of the router.
 pub(crate) fn state(target: &Target) -> Result<State, CmdError> {
     call(target, async |caller| Ok(caller.config().await?))
 }
 
-/// Makes one change out of the configuration in force, and prints what became of it.
-pub(crate) fn change<F>(target: &Target, terms: &Terms, make: F) -> Result<(), CmdError>
+/// Builds a change from the current configuration, applies it and prints the outcome.
+pub(crate) fn change<F>(target: &Target, terms: &Terms, build: F) -> Result<(), CmdError>
 where
     F: FnOnce(&State) -> Result<Op, CmdError>,
 {
@@ -74,11 +74,11 @@
         let change = Change {
             against_version: terms.against.unwrap_or(state.version),
             author: terms.author.clone(),
-            op: Some(make(&state)?),
+            op: Some(build(&state)?),
         };
         Ok(apply(caller, change).await?)
     })?;
-    report(target, &reply)
+    print_outcome(target, &reply)
 }
 
 async fn apply(caller: &mut OperatorCaller, change: Change) -> Result<ApplyReply, CallError> {
@@ -86,7 +86,7 @@
     caller.apply(ApplyRequest { change }).await
 }
 
-fn report(target: &Target, reply: &ApplyReply) -> Result<(), CmdError> {
+fn print_outcome(target: &Target, reply: &ApplyReply) -> Result<(), CmdError> {
     if target.json {
         print_json(reply)?;
     }
@@ -100,7 +100,7 @@
         let reason = &reply.reason;
         return RejectedSnafu { reason }.fail();
     }
-    RacedSnafu {
+    ConflictSnafu {
         winner: &reply.winner,
         version: reply.version,
         reason: &reply.reason,
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-/// The thing called `name`, or the error that says it doesn't exist.
+/// Returns the object called `name`, or [`CmdError::Missing`].
 pub(crate) fn find<'s, T>(
     list: &'s [T],
     kind: &'static str,
@@ -127,9 +127,9 @@
     })
 }
 
-/// Sets `slot` where a value is given; what isn't given stays as it is.
-pub(crate) fn set<T>(slot: &mut T, given: Option<T>) {
+/// Sets `field` if a value is given.
+pub(crate) fn set<T>(field: &mut T, given: Option<T>) {
     if let Some(value) = given {
-        *slot = value;
+        *field = value;
     }
 }
--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -1,11 +1,11 @@
-//! `cassiagrade config`: the configuration in force.
+//! `cassiagrade config`: shows the current configuration.
 
 use bpaf::Bpaf;
 
 use crate::cmd::CmdError;
 use crate::cmd::client::{self, Target, target};
 
-/// Shows the whole configuration in force at a router.
+/// Shows the current configuration of a router.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("config"),
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,4 +1,5 @@
-//! `cassiagrade drain` and `cassiagrade undrain`: take a host or an upstream out, or put it back.
+//! `cassiagrade drain` and `cassiagrade undrain`: stop or resume sending new work to a host or an
+//! upstream.
 
 use bpaf::Bpaf;
 
@@ -7,7 +8,7 @@
 use crate::schema::config::change::Op;
 use crate::schema::config::{HostMark, State};
 
-/// Sends a host or an upstream no new work; what runs there is not cut.
+/// Stops sending new work to a host or an upstream; running requests are not cut.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("drain"),
@@ -22,7 +23,7 @@
     which: Which,
 }
 
-/// Gives a drained host or upstream work again.
+/// Resumes sending new work to a drained host or upstream.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("undrain"),
@@ -38,18 +39,18 @@
     which: Which,
 }
 
-/// What is drained.
+/// Selects what to drain.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Which {
-    /// One of the fleet's hosts.
+    /// A host of the fleet.
     Host {
-        /// The router on this host
+        /// Host whose router is meant
         #[bpaf(long("host"), argument("NAME"))]
         host: String,
     },
     /// An upstream.
     Upstream {
-        /// This upstream
+        /// Upstream that is meant
         #[bpaf(long("upstream"), argument("NAME"))]
         upstream: String,
     },
@@ -58,28 +59,33 @@
 /// Runs `drain`.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
-    mark(&args.target, &args.terms, &args.which, true)
+    set_draining(&args.target, &args.terms, &args.which, true)
 }
 
 /// Runs `undrain`.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run_undrain(args: UndrainArgs) -> Result<(), CmdError> {
-    mark(&args.target, &args.terms, &args.which, false)
+    set_draining(&args.target, &args.terms, &args.which, false)
 }
 
-fn mark(target: &Target, terms: &Terms, which: &Which, draining: bool) -> Result<(), CmdError> {
+fn set_draining(
+    target: &Target,
+    terms: &Terms,
+    which: &Which,
+    draining: bool,
+) -> Result<(), CmdError> {
     if let Which::Host { host } = which {
-        known_host(target, host)?;
+        check_host(target, host)?;
     }
     client::change(target, terms, |state| op(state, which, draining))
 }
 
-/// A mistyped host would be marked without a word, and the right one go on.
-fn known_host(target: &Target, host: &str) -> Result<(), CmdError> {
+/// Checks that the fleet has this host. The change itself would accept a mistyped name.
+fn check_host(target: &Target, host: &str) -> Result<(), CmdError> {
     let fleet = client::call(target, async |caller| Ok(caller.fleet().await?))?;
     client::find(&fleet.hosts, "host", host, |h| &h.name).map(|_| ())
 }
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade evacuate`: sends a data centre's upstreams no new work, or takes that back.
+//! `cassiagrade evacuate`: stops or resumes sending new work to the upstreams of a data centre.
 
 use bpaf::Bpaf;
 
@@ -7,7 +7,7 @@
 use crate::schema::config::change::Op;
 use crate::schema::config::{DataCenterMark, State};
 
-/// Sends the upstreams of a data centre no new work; what runs there is not cut.
+/// Stops sending new work to the upstreams of a data centre; running requests are not cut.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("evacuate"),
@@ -18,7 +18,7 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// Give it work again
+    /// Resume sending new work
     #[bpaf(long)]
     undo: bool,
     /// The data centre
@@ -29,10 +29,10 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     client::change(&args.target, &args.terms, |state| {
-        known_data_center(state, &args.data_center)?;
+        check_data_center(state, &args.data_center)?;
         Ok(Op::MarkDataCenter(DataCenterMark {
             data_center: args.data_center.clone(),
             evacuated: !args.undo,
@@ -40,8 +40,8 @@
     })
 }
 
-/// A mistyped data centre would be marked without a word, and the right one go on.
-fn known_data_center(state: &State, name: &str) -> Result<(), CmdError> {
+/// Checks that the data centre is known. The change itself would accept a mistyped name.
+fn check_data_center(state: &State, name: &str) -> Result<(), CmdError> {
     let is_marked = state.data_centers.iter().any(|m| m.data_center == name);
     if is_marked {
         return Ok(());
--- a/src/cmd/story.rs
+++ b/src/cmd/event_text.rs
@@ -1,4 +1,4 @@
-//! Events for people: a list, or the story of one request from entry to answer.
+//! Text output of events: a list, or the steps of one request from entry to answer.
 
 use std::io::{self, Write};
 
@@ -9,7 +9,7 @@
 const S_PER_HOUR: u64 = 3_600;
 const S_PER_DAY: u64 = 86_400;
 
-/// Prints one line an event, with the time of day in UTC.
+/// Prints one line per event, with the time of day in UTC.
 pub(crate) fn list(wtr: &mut impl Write, events: &[Event]) -> io::Result<()> {
     for event in events {
         let time = time_of_day(event.at_ms);
@@ -19,8 +19,8 @@
     Ok(())
 }
 
-/// Tells what happened to one request, with the milliseconds since it came in.
-pub(crate) fn tell(wtr: &mut impl Write, events: &[Event]) -> io::Result<()> {
+/// Prints the steps of one request, with the milliseconds since its first event.
+pub(crate) fn trace(wtr: &mut impl Write, events: &[Event]) -> io::Result<()> {
     let Some(first) = events.first() else {
         return writeln!(wtr, "no event of this request");
     };
@@ -37,7 +37,7 @@
     for event in events {
         let since_ms = event.at_ms - first.at_ms;
         let host = &event.host;
-        writeln!(wtr, "{since_ms:>8} ms  {host:<10} {}", sentence(event))?;
+        writeln!(wtr, "{since_ms:>8} ms  {host:<10} {}", describe(event))?;
     }
     let last = events.last().unwrap_or(first);
     let total_ms = last.at_ms - first.at_ms;
@@ -57,8 +57,8 @@
     format!("{n} {what}{plural}")
 }
 
-/// One event as a sentence.
-fn sentence(event: &Event) -> String {
+/// Describes one event in words.
+fn describe(event: &Event) -> String {
     let upstream = &event.upstream;
     let detail = &event.detail;
     let attempt = event.attempt;
@@ -84,7 +84,7 @@
     }
 }
 
-/// The fields that are set, as `name=value`.
+/// Formats the fields that are set, as `name=value`.
 fn fields(event: &Event) -> String {
     let mut text = Vec::new();
     let named = [
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file a subcommand.
+//! Subcommands of the command line, one file each.
 
 pub mod account;
 pub mod apply;
@@ -7,6 +7,7 @@
 pub mod config;
 pub mod drain;
 pub mod evacuate;
+mod event_text;
 pub mod fleet;
 pub mod order;
 mod output;
@@ -14,7 +15,6 @@
 pub mod rollout;
 pub mod router;
 pub mod service;
-mod story;
 pub mod timeline;
 pub mod upstream;
 
@@ -25,72 +25,73 @@
 
 use crate::serve::operator::CallError;
 
-/// Why a subcommand failed.
+/// Errors of the subcommands.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CmdError {
-    /// The settings can't be used.
+    /// The settings are invalid or can't be read.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// Why.
+        /// The cause.
         source: crate::config::ConfigError,
     },
-    /// The router can't start.
+    /// The router failed to start.
     #[snafu(display("{source}"), context(false))]
     Router {
-        /// Why.
+        /// The cause.
         source: crate::router::RouterError,
     },
     /// An operator call failed.
     #[snafu(display("{source}"), context(false))]
     Call {
-        /// Why.
+        /// The cause.
         source: CallError,
     },
-    /// The router gave no answer in time.
-    #[snafu(display("no answer within {timeout_ms} ms: the outcome isn't known"))]
+    /// The router didn't answer in time.
+    #[snafu(display("no answer within {timeout_ms} ms: the outcome is unknown"))]
     TimedOut {
-        /// How long was waited.
+        /// The timeout of the call.
         timeout_ms: u64,
     },
-    /// The router answered no.
+    /// The router rejected the change or order.
     #[snafu(display("refused: {reason}"))]
     Rejected {
-        /// Its reason.
+        /// The router's reason.
         reason: String,
     },
-    /// Another change came first.
+    /// Another change was applied first.
     #[snafu(display(
-        "lost a race: change {winner} made version {version} first ({reason}); look and try again"
+        "conflict: change {winner} made version {version} first ({reason}); \
+         check the configuration and retry"
     ))]
-    Raced {
-        /// Record id of the change that won.
+    Conflict {
+        /// Record id of the change that was applied.
         winner: String,
         /// The version in force.
         version: u64,
-        /// What the router says of it.
+        /// The router's reason.
         reason: String,
     },
-    /// A thing to change or delete doesn't exist.
+    /// The object to change or delete doesn't exist.
     #[snafu(display("no {kind} is named \"{name}\""))]
     Missing {
-        /// What kind of thing.
+        /// Kind of the object.
         kind: &'static str,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// An argument can't be used.
+    /// An argument is invalid.
     #[snafu(display("{argument}: {reason}"))]
     Argument {
-        /// Which.
+        /// Name of the argument.
         argument: &'static str,
-        /// Why.
+        /// What is wrong with it.
         reason: String,
     },
-    /// The system refused something.
+    /// A system call failed.
     #[snafu(display("{source}"), context(false))]
     System {
-        /// What it said.
+        /// The system's error.
         source: std::io::Error,
     },
     /// A file can't be read.
@@ -98,41 +99,41 @@
     File {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// Output or input isn't JSON.
+    /// Input or output can't be converted from or to JSON.
     #[snafu(display("{source}"), context(false))]
     Json {
-        /// Where.
+        /// The parse error.
         source: serde_json::Error,
     },
 }
 
-/// What scripts may rely on; 1 is also a wrong command line.
+/// Exit codes, which are stable for scripts; 1 is also used for a wrong command line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 enum Exit {
-    /// The system refused something.
+    /// A system call failed.
     System = 1,
-    /// Settings or input are wrong.
+    /// The settings or the input are invalid.
     Input = 2,
-    /// The change or order breaks a rule.
+    /// The router rejected the change or order.
     Rejected = 3,
-    /// Another change came first.
-    Raced = 4,
-    /// The router couldn't be reached or can't serve now: surely nothing happened.
-    Unreached = 5,
-    /// It may or may not have happened.
+    /// Another change was applied first.
+    Conflict = 4,
+    /// The router is unreachable or can't serve now; nothing was changed.
+    Unreachable = 5,
+    /// The outcome is unknown.
     Unknown = 6,
     /// The operator key is wrong.
     Denied = 7,
-    /// The thing named doesn't exist.
+    /// The named object doesn't exist.
     Missing = 8,
 }
 
 impl CmdError {
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     ///
     /// ```
     /// use cassiagrade::cmd::CmdError;
@@ -155,7 +156,7 @@
             | Self::Json { .. } => Exit::Input,
             Self::Router { .. } | Self::System { .. } => Exit::System,
             Self::Rejected { .. } => Exit::Rejected,
-            Self::Raced { .. } => Exit::Raced,
+            Self::Conflict { .. } => Exit::Conflict,
             Self::TimedOut { .. } => Exit::Unknown,
             Self::Missing { .. } => Exit::Missing,
             Self::Call { source } => call_exit(source),
@@ -165,14 +166,14 @@
 
 fn call_exit(error: &CallError) -> Exit {
     match error {
-        CallError::Connect { .. } => Exit::Unreached,
+        CallError::Connect { .. } => Exit::Unreachable,
         CallError::Key { .. } => Exit::Input,
         CallError::Refused { source } => match source.code() {
             Code::Unauthenticated | Code::PermissionDenied => Exit::Denied,
-            Code::Unavailable | Code::Unimplemented => Exit::Unreached,
+            Code::Unavailable | Code::Unimplemented => Exit::Unreachable,
             Code::InvalidArgument | Code::FailedPrecondition => Exit::Rejected,
             Code::NotFound => Exit::Missing,
-            // A connection that broke in the middle comes as one of these too.
+            // Includes connections lost during the call.
             _ => Exit::Unknown,
         },
     }
--- a/src/cmd/order.rs
+++ b/src/cmd/order.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade order`: gives one order to one upstream.
+//! `cassiagrade order`: sends an order to an upstream.
 
 use bpaf::Bpaf;
 
@@ -21,7 +21,7 @@
     /// load_model, load_adapter, load_version or change_role
     #[bpaf(positional("ACTION"))]
     action: String,
-    /// What to load, or the role
+    /// Model, adapter or version to load, or the new role
     #[bpaf(positional("VALUE"))]
     value: String,
 }
--- a/src/cmd/output.rs
+++ b/src/cmd/output.rs
@@ -1,9 +1,9 @@
-//! Tables for people.
+//! Plain-text tables.
 
-/// Space between two columns.
+/// Column separator.
 const GAP: &str = "  ";
 
-/// Prints rows under a head, each column as wide as its widest cell.
+/// Prints a table with a header, each column as wide as its widest cell.
 pub(crate) fn table<const N: usize>(head: [&str; N], rows: impl Iterator<Item = [String; N]>) {
     print!("{}", render(head, rows));
 }
@@ -26,7 +26,7 @@
     out
 }
 
-/// What stands for an empty cell.
+/// Returns `text`, or a dash if it is empty.
 pub(crate) fn or_dash(text: &str) -> String {
     if text.is_empty() {
         return "-".to_owned();
@@ -34,7 +34,7 @@
     text.to_owned()
 }
 
-/// A limit, where zero means none.
+/// Formats a limit, where zero means none.
 pub(crate) fn limit<T: PartialEq + Default + ToString>(value: T) -> String {
     if value == T::default() {
         return "none".to_owned();
--- a/src/cmd/output_tests.rs
+++ b/src/cmd/output_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn zero_is_no_limit() {
+fn zero_is_shown_as_no_limit() {
     assert_eq!(limit(0), "none");
     assert_eq!(limit(7), "7");
     assert_eq!(or_dash(""), "-");
--- a/src/cmd/policy.rs
+++ b/src/cmd/policy.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade policy`: how a service is routed.
+//! `cassiagrade policy`: manages the routing policies of services.
 
 use bpaf::Bpaf;
 
@@ -19,18 +19,18 @@
     action: Action,
 }
 
-/// What is to be done.
+/// Operation to run.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Action {
-    /// Creates or changes one.
+    /// Creates or changes a policy.
     Put(#[bpaf(external(put))] Put),
-    /// Lists all.
+    /// Lists all policies.
     List(#[bpaf(external(list))] List),
-    /// Deletes one.
+    /// Deletes a policy.
     Delete(#[bpaf(external(delete))] Delete),
 }
 
-/// Creates the policy of a service, or changes what is given of it; 0 means the default.
+/// Creates the policy of a service, or changes the given fields of it; 0 means the default.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("put"),
@@ -41,25 +41,25 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// Load bound: no upstream above (1 + epsilon) times the mean
+    /// Load bound: no upstream gets more than (1 + epsilon) times the mean load
     #[bpaf(long, argument("SHARE"))]
     epsilon: Option<f64>,
-    /// Upstreams over which one hot chat is spread
+    /// Number of upstreams over which one busy chat is spread
     #[bpaf(long, argument("COUNT"))]
     spread_width: Option<u32>,
-    /// Requests that wait at one upstream
+    /// Limit on requests queued for one upstream
     #[bpaf(long, argument("COUNT"))]
     queue_limit: Option<u32>,
-    /// How long a request may wait there
+    /// Limit on the time a request is queued
     #[bpaf(long, argument("MS"))]
     queue_wait_ms: Option<u32>,
-    /// Retries as a share of requests
+    /// Limit on retries as a share of requests
     #[bpaf(long, argument("SHARE"))]
     retry_share: Option<f64>,
-    /// Share of a pool's upstreams that may be ejected at once
+    /// Limit on concurrently ejected upstreams as a share of the pool
     #[bpaf(long, argument("SHARE"))]
     eject_share: Option<f64>,
-    /// Priority to shed, the first to go first; may be given several times
+    /// Priority to shed, in the given order; may be given several times
     #[bpaf(long("shed"), argument("PRIORITY"))]
     shed_order: Vec<String>,
     /// The service's name
@@ -75,7 +75,7 @@
     target: Target,
 }
 
-/// Deletes a policy: its service is routed by the defaults.
+/// Deletes a policy; its service is then routed with the defaults.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("delete"), footer("Example: cassiagrade policy delete draft"))]
 pub struct Delete {
@@ -91,7 +91,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     match args.action {
         Action::Put(put) => client::change(&put.target, &put.terms, |state| {
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade rollout`: brings every engine of a service to a wanted version.
+//! `cassiagrade rollout`: changes the version of all engines of a service.
 
 use bpaf::Bpaf;
 
@@ -10,7 +10,7 @@
 
 const KIND: &str = "rollout";
 
-/// Starts, pauses, resumes and undoes rollouts of a version.
+/// Starts, pauses, resumes, undoes and lists rollouts.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("rollout"))]
 pub struct Args {
@@ -18,22 +18,22 @@
     action: Action,
 }
 
-/// What is to be done.
+/// Operation to run.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Action {
-    /// Starts one.
+    /// Starts a rollout.
     Start(#[bpaf(external(start))] Start),
-    /// Pauses one.
+    /// Pauses a rollout.
     Pause(#[bpaf(external(pause))] Pause),
-    /// Lets one go on.
+    /// Resumes a rollout.
     Resume(#[bpaf(external(resume))] Resume),
-    /// Goes back.
+    /// Undoes a rollout.
     Undo(#[bpaf(external(undo))] Undo),
-    /// Lists all.
+    /// Lists all rollouts.
     List(#[bpaf(external(list))] List),
 }
 
-/// Starts bringing a service's engines to a version, a few at once.
+/// Starts changing the engines of a service to a version, a few at once.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("start"),
@@ -44,13 +44,13 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// The wanted version
+    /// Target version
     #[bpaf(long, argument("VERSION"))]
     version: String,
-    /// The model; the service's own if not given
+    /// Model; the service's own if not given
     #[bpaf(long, argument("MODEL"))]
     model: Option<String>,
-    /// Engines that change at the same time
+    /// Number of engines that change at the same time
     #[bpaf(long, argument("COUNT"), fallback(1), display_fallback)]
     at_once: u32,
     /// The service's name
@@ -58,7 +58,7 @@
     service: String,
 }
 
-/// Pauses a rollout: no further engine is given an order.
+/// Pauses a rollout: no further engine gets an order.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("pause"), footer("Example: cassiagrade rollout pause draft"))]
 pub struct Pause {
@@ -71,7 +71,7 @@
     service: String,
 }
 
-/// Lets a paused rollout go on.
+/// Resumes a paused rollout.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("resume"), footer("Example: cassiagrade rollout resume draft"))]
 pub struct Resume {
@@ -84,7 +84,7 @@
     service: String,
 }
 
-/// Brings a service's engines back to the version they had before.
+/// Returns the engines of a service to their previous version.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("undo"), footer("Example: cassiagrade rollout undo draft"))]
 pub struct Undo {
@@ -108,26 +108,26 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     match args.action {
         Action::Start(start) => {
-            client::change(&start.target, &start.terms, |state| started(state, &start))
+            client::change(&start.target, &start.terms, |state| start_op(state, &start))
         }
         Action::Pause(pause) => client::change(&pause.target, &pause.terms, |state| {
-            paused(state, &pause.service, true)
+            pause_op(state, &pause.service, true)
         }),
         Action::Resume(resume) => client::change(&resume.target, &resume.terms, |state| {
-            paused(state, &resume.service, false)
+            pause_op(state, &resume.service, false)
         }),
         Action::Undo(undo) => client::change(&undo.target, &undo.terms, |state| {
-            undone(state, &undo.service)
+            undo_op(state, &undo.service)
         }),
         Action::List(List { target }) => print(&target),
     }
 }
 
-fn started(state: &State, start: &Start) -> Result<Op, CmdError> {
+fn start_op(state: &State, start: &Start) -> Result<Op, CmdError> {
     let service = client::find(&state.services, "service", &start.service, |s| &s.name)?;
     let running = state.rollouts.iter().find(|r| r.service == start.service);
     Ok(Op::PutRollout(Rollout {
@@ -140,13 +140,13 @@
     }))
 }
 
-fn paused(state: &State, service: &str, paused: bool) -> Result<Op, CmdError> {
+fn pause_op(state: &State, service: &str, paused: bool) -> Result<Op, CmdError> {
     let mut rollout = find(state, service)?;
     rollout.paused = paused;
     Ok(Op::PutRollout(rollout))
 }
 
-fn undone(state: &State, service: &str) -> Result<Op, CmdError> {
+fn undo_op(state: &State, service: &str) -> Result<Op, CmdError> {
     let mut rollout = find(state, service)?;
     if rollout.previous_version.is_empty() {
         let reason = "the service had no version before";
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -12,20 +12,20 @@
 use crate::exporter::Exporter;
 use crate::logs;
 use crate::reload::Watch;
-use crate::routed::Routed;
+use crate::routed::KeyedLogRouter;
 use crate::router::{Outputs, Router};
 use crate::schema::settings::Settings;
 use crate::stdout_writer::StdoutWriter;
 
-/// A process that ends waits this long for its last log lines to be read.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// Its number is the same on every POSIX system.
+/// How long an ending process waits for its last log lines to be written.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Signal number, the same on every POSIX system.
 const SIGTERM: i32 = 15;
 
-/// Runs one router until it is told to stop.
+/// Runs one router until SIGTERM.
 ///
-/// On SIGTERM it finishes what is in flight, within the drain limit of its settings, and exits
-/// with 0. Logs and time line events go to standard output as JSON lines.
+/// On SIGTERM it finishes requests in flight, within the drain limit of its settings, and exits
+/// with 0. Logs and timeline events are written to standard output as JSON lines.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("router"))]
 pub struct Args {
@@ -37,7 +37,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the settings can't be used or an address can't be listened on.
+/// When the settings are invalid or the router fails to start.
 pub fn run(args: Args) -> Result<(), CmdError> {
     let watch = Watch::open(&args.settings)?;
     let settings = crate::config::load(&args.settings)?;
@@ -45,7 +45,9 @@
     logs::init(&settings, writer.clone());
     stop_on_panic(writer.clone());
     let metrics = Exporter::install()
-        .inspect_err(|e| log::error!("no metrics: {e}"))
+        .inspect_err(|e| {
+            log::error!("cannot install the metrics exporter, running without metrics: {e}")
+        })
         .ok();
     let events = settings.output.as_ref().is_some_and(|o| o.events);
     let outputs = Outputs {
@@ -53,7 +55,7 @@
         metrics,
     };
     let ended = serve(settings, outputs, watch);
-    writer.flush_within(LAST_LINES);
+    writer.flush_within(LOG_FLUSH_TIMEOUT);
     ended
 }
 
@@ -64,7 +66,7 @@
         .is_some_and(|p| p.protocol == KEYED_LOG)
     {
         return block_on(async {
-            let router = Routed::spawn(settings, outputs).await?;
+            let router = KeyedLogRouter::spawn(settings, outputs).await?;
             let changed = router.clone();
             let follow = watch.follow(move |settings| changed.apply(settings));
             compio::runtime::spawn(follow).detach();
@@ -82,25 +84,26 @@
     })?
 }
 
-/// Ends the process when a task panics.
+/// Aborts the process when a task panics.
 ///
-/// The runtime keeps a task's panic to itself. Without the task that owns the configuration, say, a
-/// router would go on answering probes and callers with what it last knew; gone, it is replaced.
+/// The runtime catches panics of tasks. Without, for example, the task that owns the configuration,
+/// a router would keep answering probes and callers from stale state; an aborted one is replaced.
 fn stop_on_panic(writer: StdoutWriter) {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        log::error!("a task panicked, the router stops: {info}");
+        log::error!("a task panicked, aborting the router: {info}");
         report(info);
-        writer.flush_within(LAST_LINES);
+        writer.flush_within(LOG_FLUSH_TIMEOUT);
         std::process::abort();
     }));
 }
 
-/// Waits until the process is asked to stop.
+/// Waits for SIGTERM or an interrupt.
 async fn stop_signal() -> std::io::Result<()> {
     let terminate = compio::signal::unix::signal(SIGTERM);
     let interrupt = compio::signal::ctrl_c();
     pin_mut!(terminate, interrupt);
-    let (Either::Left((asked, _)) | Either::Right((asked, _))) = select(terminate, interrupt).await;
-    asked
+    let (Either::Left((signal, _)) | Either::Right((signal, _))) =
+        select(terminate, interrupt).await;
+    signal
 }
--- a/src/cmd/service.rs
+++ b/src/cmd/service.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade service`: services, and which of their calls may not be repeated.
+//! `cassiagrade service`: manages services and marks their non-idempotent calls.
 
 use bpaf::Bpaf;
 
@@ -18,22 +18,22 @@
     action: Action,
 }
 
-/// What is to be done.
+/// Operation to run.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Action {
-    /// Creates or changes one.
+    /// Creates or changes a service.
     Put(#[bpaf(external(put))] Put),
-    /// Lists all.
+    /// Lists all services.
     List(#[bpaf(external(list))] List),
-    /// Deletes one.
+    /// Deletes a service.
     Delete(#[bpaf(external(delete))] Delete),
     /// Marks calls as non-idempotent.
     Mark(#[bpaf(external(mark))] Mark),
-    /// Takes such a mark away.
+    /// Removes such a mark.
     Unmark(#[bpaf(external(unmark))] Unmark),
 }
 
-/// Creates a service, or changes what is given of one.
+/// Creates a service, or changes the given fields of one.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("put"),
@@ -44,16 +44,16 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// engine or plain
+    /// Kind of service: engine or plain
     #[bpaf(long, argument("KIND"))]
     kind: Option<String>,
-    /// Model that callers name, for engines
+    /// Model name in callers' requests, for engines
     #[bpaf(long, argument("MODEL"))]
     model: Option<String>,
-    /// Path that callers use, for plain services
+    /// Path prefix of callers' requests, for plain services
     #[bpaf(long, argument("PATH"))]
     path_prefix: Option<String>,
-    /// How long one call may take; 0 for the default
+    /// Timeout of one call; 0 for the default
     #[bpaf(long, argument("MS"))]
     call_timeout_ms: Option<u32>,
     /// The service's name
@@ -100,7 +100,7 @@
     name: String,
 }
 
-/// Takes the mark of non-idempotent calls away.
+/// Removes the mark of non-idempotent calls.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("unmark"),
@@ -118,13 +118,13 @@
     name: String,
 }
 
-/// Which calls of a service.
+/// Selects calls of a service.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Calls {
-    /// Their method
+    /// HTTP method of the calls
     #[bpaf(long, argument("METHOD"))]
     method: http::Method,
-    /// What their paths start with
+    /// Path prefix of the calls
     #[bpaf(long, argument("PATH"))]
     path: String,
 }
@@ -132,7 +132,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     match args.action {
         Action::Put(put) => client::change(&put.target, &put.terms, |state| {
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade timeline`: merges the events of many processes into one time line.
+//! `cassiagrade timeline`: merges the events of many processes into one timeline.
 
 use std::collections::HashSet;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -8,17 +8,17 @@
 use serde::Deserialize;
 use snafu::ResultExt;
 
-use crate::cmd::{CmdError, FileSnafu, story};
+use crate::cmd::{CmdError, FileSnafu, event_text};
 use crate::event::{Event, Stamp};
 
-/// Merges the events of many processes into one time line.
+/// Merges the events of many processes into one timeline.
 ///
-/// Filters by request, chat, account and upstream keep every event of the requests they match, so
-/// that a request's path is whole; the other filters go by event.
+/// Filters by request, chat, account and upstream keep all events of each matching request; the
+/// other filters match single events.
 #[derive(Clone, Debug, Default, Bpaf)]
 #[bpaf(command("timeline"))]
 pub struct Args {
-    /// Only this request; printed as its story from entry to answer
+    /// Only this request, printed step by step from entry to answer
     #[bpaf(long, argument("ID"), fallback(String::new()))]
     pub request: String,
     /// Only requests of this chat key
@@ -27,7 +27,7 @@
     /// Only requests of this account
     #[bpaf(long, argument("NAME"), fallback(String::new()))]
     pub account: String,
-    /// Only requests and events that met this upstream
+    /// Only requests and events that involve this upstream
     #[bpaf(long, argument("NAME"), fallback(String::new()))]
     pub upstream: String,
     /// Only events of this host
@@ -45,25 +45,25 @@
     /// Print events as JSON lines
     #[bpaf(long)]
     pub json: bool,
-    /// Files of events, one for each process
+    /// Event files, one per process
     #[bpaf(positional("FILE"), some("name at least one file of events"))]
     pub files: Vec<PathBuf>,
 }
 
-/// Events of several processes in the order in which they happened.
+/// Events of several processes in causal order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Timeline {
-    /// Causes before effects, by the hybrid logical clock.
+    /// The events, ordered by the hybrid logical clock.
     pub events: Vec<Event>,
-    /// Lines that are damaged or cut, and so were skipped.
+    /// Number of damaged or truncated lines that were skipped.
     pub skipped: usize,
 }
 
 impl Timeline {
     /// Adds the events of one process, one JSON object a line.
     ///
-    /// A process that is killed leaves its last line cut, and a disk that fills leaves damage in
-    /// the middle: such lines are counted, and all others read.
+    /// A killed process may leave a truncated last line, and a full disk damaged lines anywhere. Such
+    /// lines are counted and skipped.
     ///
     /// # Errors
     /// When `rdr` can't be read.
@@ -81,7 +81,7 @@
             if line.trim_ascii().is_empty() {
                 continue;
             }
-            // Whoever collects the lines of many hosts may have put time and host before each.
+            // A log collector may have added a prefix such as time and host.
             let start = line.iter().position(|b| *b == b'{').unwrap_or(0);
             match serde_json::from_slice::<Line>(&line[start..]) {
                 Ok(Line::Event(event)) if !event.kind.is_empty() => self.events.push(event),
@@ -92,20 +92,20 @@
         Ok(())
     }
 
-    /// Puts the events in order; events of one host keep the order in which it wrote them.
+    /// Sorts the events; events of one host keep their order.
     pub fn sort(&mut self) {
         self.events
             .sort_by(|a, b| stamp(a).cmp(&stamp(b)).then_with(|| a.host.cmp(&b.host)));
     }
 
-    /// Keeps what `args` ask for.
+    /// Keeps the events that match `args`.
     pub fn filter(&mut self, args: &Args) {
         let wanted = Wanted::new(args, &self.events);
         self.events.retain(|e| wanted.keeps(args, e));
     }
 }
 
-/// One line of a process: an event, or a log line, which tells of no request's way.
+/// One line of a process: an event, or a log line, which is ignored.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Line {
@@ -147,7 +147,7 @@
         let is = |wanted: &str, value: &str| wanted.is_empty() || wanted == value;
         let of_request = match &self.requests {
             None => true,
-            // An upstream's own events belong to no request.
+            // An upstream's own events have no request id.
             Some(_) if event.request_id.is_empty() => {
                 !args.upstream.is_empty() && args.upstream == event.upstream
             }
@@ -185,9 +185,9 @@
             wtr.write_all(b"\n")?;
         }
     } else if args.request.is_empty() {
-        story::list(&mut wtr, &timeline.events)?;
+        event_text::list(&mut wtr, &timeline.events)?;
     } else {
-        story::tell(&mut wtr, &timeline.events)?;
+        event_text::trace(&mut wtr, &timeline.events)?;
     }
     wtr.flush()?;
     if timeline.skipped > 0 {
--- a/src/cmd/upstream.rs
+++ b/src/cmd/upstream.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade upstream`: engines and plain hosts behind the services.
+//! `cassiagrade upstream`: manages the engines and plain hosts behind services.
 
 use std::net::SocketAddr;
 
@@ -20,18 +20,18 @@
     action: Action,
 }
 
-/// What is to be done.
+/// Operation to run.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Action {
-    /// Creates or changes one.
+    /// Creates or changes an upstream.
     Put(#[bpaf(external(put))] Put),
-    /// Lists all.
+    /// Lists all upstreams.
     List(#[bpaf(external(list))] List),
-    /// Deletes one.
+    /// Deletes an upstream.
     Delete(#[bpaf(external(delete))] Delete),
 }
 
-/// Creates an upstream, or changes what is given of one.
+/// Creates an upstream, or changes the given fields of one.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("put"),
@@ -45,22 +45,23 @@
     target: Target,
     #[bpaf(external(terms))]
     terms: Terms,
-    /// The service it belongs to
+    /// Service that it belongs to
     #[bpaf(long, argument("SERVICE"))]
     service: Option<String>,
-    /// Where it listens
+    /// Address that it listens on
     #[bpaf(long, argument("ADDR"))]
     addr: Option<SocketAddr>,
-    /// The data centre it stands in
+    /// Data centre that it runs in
     #[bpaf(long, argument("NAME"))]
     data_center: Option<String>,
-    /// Requests it runs at once; 0 for the default
+    /// Requests that it runs concurrently; 0 for the default
     #[bpaf(long, argument("COUNT"))]
     slots: Option<u32>,
-    /// It refuses orders with an old fencing number: true or false
+    /// Whether it refuses orders with an old fencing number: true or false
     #[bpaf(long, argument("BOOL"))]
     honours_fencing: Option<bool>,
-    /// The longest it was ever seen to pause, which its orders wait for where it ignores fencing
+    /// Longest observed pause; if it ignores fencing, orders wait this long while an earlier one may
+    /// still arrive
     #[bpaf(long, argument("MS"))]
     longest_pause_ms: Option<u32>,
     /// The upstream's name
@@ -76,7 +77,7 @@
     target: Target,
 }
 
-/// Deletes an upstream: it gets no new work, and what runs there ends as it will.
+/// Deletes an upstream: it gets no new work; its running requests finish normally.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     command("delete"),
@@ -95,7 +96,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// When the call fails or the change is refused.
+/// When the call fails or the change is rejected.
 pub fn run(args: Args) -> Result<(), CmdError> {
     match args.action {
         Action::Put(put) => client::change(&put.target, &put.terms, |state| {
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! One router's settings: JSON with comments, checked before anything starts.
+//! Settings of one router: JSON with comments, validated before any task starts.
 
 mod check;
 mod fields;
@@ -17,15 +17,15 @@
     Decisions, Fleet, Host, Limits, Listen, Operator, Output, Platform, Settings,
 };
 
-/// Why settings can't be used.
+/// Errors in a settings file.
 #[derive(Debug, Snafu)]
 pub enum ConfigError {
     /// The file can't be read.
-    #[snafu(display("{path}: {source}"))]
+    #[snafu(display("{path}: cannot read the settings: {source}"))]
     Unreadable {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The file isn't JSON with comments.
@@ -41,7 +41,7 @@
     Faults {
         /// The file.
         path: String,
-        /// All of them, in the file's order.
+        /// All faults, in file order.
         faults: Vec<Fault>,
     },
 }
@@ -51,20 +51,20 @@
     lines.join("\n")
 }
 
-/// Reads, completes and checks the settings file at `path`.
+/// Reads and validates the settings file at `path`, and fills in the defaults.
 ///
 /// # Errors
-/// Every fault, with file, line, column and field.
+/// Lists every fault with file, line, column and field.
 pub fn load(path: &Path) -> Result<Settings, ConfigError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).context(UnreadableSnafu { path: &name })?;
     parse(&name, &text)
 }
 
-/// Parses settings from `text`; `path` only names them in errors.
+/// Parses settings from `text`; `path` is only used in error messages.
 ///
 /// # Errors
-/// Every fault, with file, line, column and field.
+/// Lists every fault with file, line, column and field.
 ///
 /// ```
 /// let text = r#"{ // one host
@@ -81,7 +81,7 @@
         path: path.to_owned(),
         detail,
     };
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &FORM).map_err(|e| {
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS).map_err(|e| {
         syntax(format!(
             "{}:{}: {}",
             e.line_display(),
@@ -95,14 +95,14 @@
         return Err(ConfigError::Faults { path, faults });
     }
     let given: Option<Value> =
-        parse_to_serde_value(text, &FORM).map_err(|e| syntax(e.to_string()))?;
-    let mut whole = serde_json::to_value(defaults()).map_err(|e| syntax(e.to_string()))?;
-    merge(&mut whole, given.unwrap_or(Value::Null));
-    serde_json::from_value(whole).map_err(|e| syntax(e.to_string()))
+        parse_to_serde_value(text, &PARSE_OPTIONS).map_err(|e| syntax(e.to_string()))?;
+    let mut merged = serde_json::to_value(defaults()).map_err(|e| syntax(e.to_string()))?;
+    merge(&mut merged, given.unwrap_or(Value::Null));
+    serde_json::from_value(merged).map_err(|e| syntax(e.to_string()))
 }
 
-/// JSON, comments and trailing commas; nothing looser.
-const FORM: ParseOptions = ParseOptions {
+/// JSON with comments and trailing commas, and no other extension.
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -115,7 +115,7 @@
     allow_extended_string_escapes: false,
 };
 
-/// The settings that hold where a file says nothing.
+/// Returns the default settings.
 pub fn defaults() -> Settings {
     Settings {
         host: Some(Host {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Every mechanism of the path.
+/// Every mechanism of the request path is enabled.
 pub(crate) const ALL_ON: Decisions = Decisions {
     admission: true,
     part_order: true,
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a settings file field by field and finds every fault at once.
+//! Validates a settings file field by field and collects every fault.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -9,14 +9,14 @@
 
 use crate::config::fields::{self, FIELDS, MAX_KEY_BYTES, MAX_NAME_BYTES, MIN_KEY_BYTES, Rule};
 
-/// One thing that is wrong with a settings file.
+/// One fault in a settings file.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Fault {
     /// Line in the file, from 1.
     pub line: usize,
     /// Column in the line, from 1.
     pub column: usize,
-    /// The field, with its section.
+    /// The field, as `section.name`.
     pub field: String,
     /// What is wrong.
     pub reason: String,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Every fault of the file whose root value is `root`, in the file's order.
+/// Returns every fault of the file with root value `root`, in file order.
 pub(crate) fn faults(text: &str, root: Option<&Value<'_>>) -> Vec<Fault> {
     let mut checker = Checker {
         text,
@@ -38,7 +38,7 @@
     match root {
         Some(Value::Object(object)) => checker.root(object),
         Some(other) => checker.fault(other.range().start, "settings", "must be an object"),
-        None => checker.missing(&HashSet::new(), 0),
+        None => checker.report_missing(&HashSet::new(), 0),
     }
     checker.found.sort();
     checker.found
@@ -62,7 +62,7 @@
     }
 
     fn root(&mut self, object: &Object<'_>) {
-        self.repeated("", object);
+        self.check_duplicates("", object);
         let mut given = HashSet::new();
         for prop in &object.properties {
             let section = prop.name.as_str();
@@ -78,40 +78,40 @@
                 other => self.fault(other.range().start, section, "must be an object"),
             }
         }
-        self.missing(&given, object.range.start);
-        self.listeners_differ(object);
-        self.times_agree(object);
-        self.keys_differ(object);
+        self.report_missing(&given, object.range.start);
+        self.check_listeners(object);
+        self.check_probe_times(object);
+        self.check_keys(object);
     }
 
     fn section(&mut self, section: &str, object: &Object<'_>) {
-        self.repeated(section, object);
+        self.check_duplicates(section, object);
         for prop in &object.properties {
             let path = format!("{section}.{}", prop.name.as_str());
             match fields::find(section, prop.name.as_str()) {
                 None => self.fault(prop.range.start, path, "no such field"),
                 Some(field) => {
-                    if let Err(reason) = fits(field.rule, &prop.value) {
+                    if let Err(reason) = check_value(field.rule, &prop.value) {
                         self.fault(prop.value.range().start, path, reason);
                     }
                 }
             }
         }
-        // A missing field is reported where its section stands.
+        // A missing field is reported at the start of its section.
         for field in FIELDS.iter().filter(|f| f.section == section && f.required) {
-            let stands = object
+            let is_given = object
                 .properties
                 .iter()
                 .any(|p| p.name.as_str() == field.name);
-            if !stands {
+            if !is_given {
                 let path = format!("{section}.{}", field.name);
                 self.fault(object.range.start, path, "missing");
             }
         }
     }
 
-    /// Reports required fields whose whole section is missing.
-    fn missing(&mut self, given: &HashSet<&str>, at: usize) {
+    /// Reports required fields of sections that are missing.
+    fn report_missing(&mut self, given: &HashSet<&str>, at: usize) {
         for field in FIELDS.iter().filter(|f| f.required) {
             if !given.contains(field.section) {
                 self.fault(at, format!("{}.{}", field.section, field.name), "missing");
@@ -119,8 +119,8 @@
         }
     }
 
-    /// A parser would keep one of the two without a word.
-    fn repeated(&mut self, section: &str, object: &Object<'_>) {
+    /// Reports duplicate keys, of which the JSON parser would silently drop all but one.
+    fn check_duplicates(&mut self, section: &str, object: &Object<'_>) {
         let mut names = HashSet::new();
         for prop in &object.properties {
             let name = prop.name.as_str();
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Two listeners can't share one port, but for port 0, which means "any".
-    fn listeners_differ(&mut self, root: &Object<'_>) {
+    /// Reports listeners with the same address. Port 0 is exempt: the system picks a free port.
+    fn check_listeners(&mut self, root: &Object<'_>) {
         let mut taken: HashSet<SocketAddr> = HashSet::new();
         for prop in section(root, "listen").iter().flat_map(|o| &o.properties) {
             let addr = text_of(&prop.value).and_then(|t| t.parse::<SocketAddr>().ok());
@@ -147,15 +147,16 @@
         }
     }
 
-    /// A probe that may take longer than the time between two is never late.
-    fn times_agree(&mut self, root: &Object<'_>) {
+    /// Requires probes to time out within the probe interval, so that a late probe is noticed
+    /// before the next one starts.
+    fn check_probe_times(&mut self, root: &Object<'_>) {
         let (Some(timeout), Some(interval)) = (
             prop(root, "fleet", "probe_timeout_ms"),
             prop(root, "fleet", "probe_interval_ms"),
         ) else {
             return;
         };
-        if whole_of(&timeout.value) > whole_of(&interval.value) {
+        if integer_of(&timeout.value) > integer_of(&interval.value) {
             let reason = "must not exceed fleet.probe_interval_ms";
             self.fault(
                 timeout.value.range().start,
@@ -165,8 +166,8 @@
         }
     }
 
-    /// A host that knows one key must not thereby know the other.
-    fn keys_differ(&mut self, root: &Object<'_>) {
+    /// Requires two different keys, so that one leaked key doesn't disclose the other.
+    fn check_keys(&mut self, root: &Object<'_>) {
         let fleet = prop(root, "fleet", "key").and_then(|p| text_of(&p.value));
         let Some(operator) = prop(root, "operator", "key") else {
             return;
@@ -199,28 +200,28 @@
     value.as_string_lit().map(|s| s.value.as_ref())
 }
 
-fn whole_of(value: &Value<'_>) -> Option<u64> {
+fn integer_of(value: &Value<'_>) -> Option<u64> {
     value.as_number_lit()?.value.parse().ok()
 }
 
-fn number_of(value: &Value<'_>) -> Option<f64> {
+fn float_of(value: &Value<'_>) -> Option<f64> {
     value.as_number_lit()?.value.parse().ok()
 }
 
-fn fits(rule: Rule, value: &Value<'_>) -> Result<(), String> {
+fn check_value(rule: Rule, value: &Value<'_>) -> Result<(), String> {
     let text = || text_of(value).ok_or_else(|| "must be text".to_owned());
     match rule {
         Rule::Name => name(text()?),
         Rule::Addr => addr(text()?).map(|_| ()),
-        Rule::ToldAddr => told_addr(text()?),
+        Rule::ToldAddr => advertised_addr(text()?),
         Rule::Key => key(text()?),
         Rule::Whole(least, most) => {
-            let whole = whole_of(value).filter(|n| (least..=most).contains(n));
+            let whole = integer_of(value).filter(|n| (least..=most).contains(n));
             let reason = || format!("must be a whole number from {least} to {most}");
             whole.map(|_| ()).ok_or_else(reason)
         }
         Rule::Number(least, most) => {
-            let number = number_of(value).filter(|n| (least..=most).contains(n));
+            let number = float_of(value).filter(|n| (least..=most).contains(n));
             let reason = || format!("must be a number from {least} to {most}");
             number.map(|_| ()).ok_or_else(reason)
         }
@@ -275,9 +276,9 @@
     text.parse().map_err(reason)
 }
 
-fn told_addr(text: &str) -> Result<(), String> {
+fn advertised_addr(text: &str) -> Result<(), String> {
     if addr(text)?.ip().is_unspecified() {
-        return Err("must name one interface: others are told this address".to_owned());
+        return Err("must name one interface: this address is given to other hosts".to_owned());
     }
     Ok(())
 }
--- a/src/config/fields.rs
+++ b/src/config/fields.rs
@@ -1,25 +1,25 @@
-//! Every settings field and what it may hold.
+//! All settings fields and their validation rules.
 
 use strum::Display;
 
-/// What a field may hold.
+/// Validation rule of a field.
 #[derive(Clone, Copy, Debug, Display)]
 pub(crate) enum Rule {
     /// A name: lower-case letters, digits, `-`, `_` and `.`.
     Name,
-    /// An IP number and port.
+    /// An IP address and port.
     Addr,
-    /// The same, told to others: it must name one interface.
+    /// An IP address and port that other hosts are given: it must name one interface.
     ToldAddr,
     /// A secret of [`MIN_KEY_BYTES`] to [`MAX_KEY_BYTES`] visible ASCII characters.
     Key,
-    /// A whole number from the first to the second.
+    /// A whole number from the first value to the second, inclusive.
     Whole(u64, u64),
     /// True or false.
     Bool,
-    /// A number from the first to the second.
+    /// A number from the first value to the second, inclusive.
     Number(f64, f64),
-    /// IP numbers and ports, separated by commas; may be empty.
+    /// IP addresses with ports, separated by commas; may be empty.
     Addrs,
     /// Pairs of names, each as `NAME=NAME`, separated by commas; may be empty.
     Pairs,
@@ -27,7 +27,7 @@
     Word(&'static [&'static str]),
 }
 
-/// One field.
+/// A settings field.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
     pub(crate) section: &'static str,
@@ -36,11 +36,11 @@
     pub(crate) required: bool,
 }
 
-/// Shorter secrets can be guessed.
+/// Least length of a key: shorter keys can be guessed.
 pub(crate) const MIN_KEY_BYTES: usize = 16;
-/// Longer ones don't fit a header comfortably.
+/// Greatest length of a key: keys are sent in a header.
 pub(crate) const MAX_KEY_BYTES: usize = 256;
-/// The longest name: a DNS label's length.
+/// Greatest length of a name, as of a DNS label.
 pub(crate) const MAX_NAME_BYTES: usize = 63;
 
 const SECOND_MS: u64 = 1_000;
@@ -48,9 +48,9 @@
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 const MIB: u64 = 1 << 20;
 
-/// What [`crate::schema::settings::Platform::protocol`] may name.
+/// Value of [`crate::schema::settings::Platform::protocol`] for the project's own log protocol.
 pub(crate) const OWN_PROTOCOL: &str = "own";
-/// The log that keeps the newest record of each key.
+/// Protocol value for a log that keeps the newest record of each key.
 pub(crate) const KEYED_LOG: &str = "keyed_log";
 const PROTOCOLS: &[&str] = &[OWN_PROTOCOL, KEYED_LOG];
 const LEVELS: &[&str] = &["error", "warn", "info", "debug", "trace"];
@@ -136,14 +136,14 @@
     optional("decisions", "connection_shares", Rule::Bool),
 ];
 
-/// The field `name` of `section`.
+/// Returns the field `name` of `section`.
 pub(crate) fn find(section: &str, name: &str) -> Option<&'static Field> {
     FIELDS
         .iter()
         .find(|f| f.section == section && f.name == name)
 }
 
-/// Whether `name` is a section.
+/// Whether `name` is a settings section.
 pub(crate) fn is_section(name: &str) -> bool {
     FIELDS.iter().any(|f| f.section == name)
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -6,7 +6,7 @@
 use super::fields::{FIELDS, Rule};
 use super::*;
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
   "host": { "name": "a1", "data_center": "north" },
   "platform": { "addr": "127.0.0.1:9000" },
   "fleet": { "key": "0123456789abcdef" },
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn good_settings_are_completed() {
-    let settings = parse("f.jsonc", GOOD).unwrap();
+fn defaults_fill_in_missing_fields() {
+    let settings = parse("f.jsonc", VALID).unwrap();
     assert_eq!(settings.limits, defaults().limits);
     assert_eq!(settings.platform.unwrap().addr, "127.0.0.1:9000");
 }
 
-/// Every field of the schema has a rule: one that is added to the schema alone is found here.
+/// Guards against a field that is added to the schema without a validation rule.
 #[test]
 fn rules_and_schema_have_the_same_fields() {
     let whole = serde_json::to_value(defaults()).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn defaults_keep_their_own_rules() {
+fn defaults_satisfy_their_rules() {
     let whole = serde_json::to_value(defaults()).unwrap();
     for field in FIELDS {
         if let Rule::Whole(least, most) = field.rule {
@@ -56,14 +56,14 @@
 }
 
 #[test_case("\"a1\"", "7", "2:21: host.name: must be text"; "number for text")]
-#[test_case("\"a1\"", "\"A 1\"", "2:21: host.name: must be 1 to 63 lower-case"; "odd name")]
+#[test_case("\"a1\"", "\"A 1\"", "2:21: host.name: must be 1 to 63 lower-case"; "invalid name")]
 #[test_case("\"name\": \"a1\", ", "", "2:11: host.name: missing"; "missing name")]
 #[test_case(", \"data_center\": \"north\"", "", "2:11: host.data_center: missing"; "missing data centre")]
 #[test_case("127.0.0.1:9000", "platform.example:9000", "3:25: platform.addr: must be an IP number"; "host name for an address")]
 #[test_case("127.0.0.1:9000", "127.0.0.1", "3:25: platform.addr: must be an IP number"; "no port")]
-#[test_case("127.0.0.1:9000", "0.0.0.0:9000", "3:25: platform.addr: must name one interface"; "no interface")]
+#[test_case("127.0.0.1:9000", "0.0.0.0:9000", "3:25: platform.addr: must name one interface"; "unspecified address")]
 #[test_case("0123456789abcdef", "short", "4:21: fleet.key: must be 16 to 256"; "short key")]
-#[test_case("fedcba9876543210", "0123456789abcdef", "5:24: operator.key: must differ"; "one key for both")]
+#[test_case("fedcba9876543210", "0123456789abcdef", "5:24: operator.key: must differ"; "same key for fleet and operators")]
 #[test_case("\"addr\"", "\"timeout_ms\": 0, \"addr\"", "3:31: platform.timeout_ms: must be a whole number from 10 to 60000"; "too small")]
 #[test_case("\"addr\"", "\"timeout_ms\": 1.5, \"addr\"", "3:31: platform.timeout_ms: must be a whole"; "fraction")]
 #[test_case("\"addr\"", "\"timeout_ms\": -5, \"addr\"", "3:31: platform.timeout_ms: must be a whole"; "negative")]
@@ -73,21 +73,21 @@
 #[test_case("{ \"key\": \"0123456789abcdef\" }", "[]", "4:12: fleet: must be an object"; "list for a section")]
 #[test_case("\"fleet\"", "\"host\": {}, \"fleet\"", "4:3: host: given more than once"; "section twice")]
 #[test_case("\"name\"", "\"name\": \"b\", \"name\"", "2:26: host.name: given more than once"; "field twice")]
-#[test_case("\"fleet\"", "\"output\": { \"events\": 1 }, \"fleet\"", "4:25: output.events: must be true or false"; "number for a truth")]
+#[test_case("\"fleet\"", "\"output\": { \"events\": 1 }, \"fleet\"", "4:25: output.events: must be true or false"; "number for a boolean")]
 #[test_case("\"fleet\"", "\"output\": { \"log_level\": \"loud\" }, \"fleet\"", "4:28: output.log_level: must be one of error"; "unknown level")]
-#[test_case("\"fleet\"", "\"listen\": { \"admin_addr\": \"127.0.0.1:1\", \"peer_addr\": \"127.0.0.1:1\" }, \"fleet\"", "4:57: listen.peer_addr: 127.0.0.1:1 is already"; "one port twice")]
-#[test_case("\"key\": \"0", "\"probe_timeout_ms\": 600, \"probe_interval_ms\": 500, \"key\": \"0", "4:34: fleet.probe_timeout_ms: must not exceed"; "slow probe")]
+#[test_case("\"fleet\"", "\"listen\": { \"admin_addr\": \"127.0.0.1:1\", \"peer_addr\": \"127.0.0.1:1\" }, \"fleet\"", "4:57: listen.peer_addr: 127.0.0.1:1 is already"; "two listeners on one address")]
+#[test_case("\"key\": \"0", "\"probe_timeout_ms\": 600, \"probe_interval_ms\": 500, \"key\": \"0", "4:34: fleet.probe_timeout_ms: must not exceed"; "probe timeout above its interval")]
 #[test_case("{ \"name\"", "{ name", "2:"; "bare word")]
 #[test_case("\"a1\",", "\"a1\"", "2:"; "missing comma")]
-fn faults_name_line_and_field(good: &str, bad: &str, says: &str) {
-    assert!(GOOD.contains(good));
-    let error = error(&GOOD.replacen(good, bad, 1));
-    let wanted = format!("f.jsonc:{says}");
+fn faults_are_reported_with_line_and_field(good: &str, bad: &str, expected: &str) {
+    assert!(VALID.contains(good));
+    let error = error(&VALID.replacen(good, bad, 1));
+    let wanted = format!("f.jsonc:{expected}");
     assert!(error.contains(&wanted), "{error}");
 }
 
 #[test]
-fn all_faults_are_told_at_once_and_in_order() {
+fn all_faults_are_reported_at_once_in_file_order() {
     let text = r#"{
   "host": { "name": "", "site": "x" },
   "limits": { "max_body_bytes": 1, "max_connections": "many" }
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn an_empty_file_misses_all_that_is_required() {
+fn empty_file_reports_every_required_field() {
     assert_eq!(error("").lines().count(), 5);
     assert_eq!(error("// nothing yet").lines().count(), 5);
     assert!(error("[]").contains("must be an object"));
 }
 
 #[test]
-fn the_example_file_is_good() {
+fn example_file_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("settings/example.jsonc");
     let settings = load(&path).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
@@ -134,14 +134,14 @@
     );
 }
 
-/// The platform's own fields as its pages show them, and with the fractions that they allow. A router that
-/// refuses what the platform fills in never starts, on any host.
+/// Guards against settings that reject values which the platform fills in, such as fractions: no
+/// router would start on any host.
 #[test_case("430"; "whole")]
 #[test_case("52.9"; "a fraction")]
 #[test_case("430.0"; "whole, written as a fraction")]
 #[test_case("0"; "none")]
 #[test_case("1e3"; "with an exponent")]
-fn the_deployed_settings_are_good(retry_slack: &str) {
+fn deployed_settings_are_valid(retry_slack: &str) {
     let values = [
         ("node_name", "edge-hala-brasov-1"),
         ("zone", "hala-brasov"),
@@ -162,7 +162,7 @@
     ];
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/settings.tmpl");
     let mut text = std::fs::read_to_string(path).unwrap();
-    // As the platform fills in the table of data centres and their regions.
+    // The platform expands this table to pairs of data centre and region.
     let table = "{{#zones}}{{@}}={{.}}{{,}}{{/zones}}";
     assert!(text.contains(table));
     text = text.replace(table, "hala-brasov=ro-centru,hala-sibiu=ro-centru");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn the_readme_shows_good_settings() {
+fn readme_settings_are_valid() {
     let readme = Path::new(env!("CARGO_MANIFEST_DIR")).join("README.md");
     let readme = std::fs::read_to_string(readme).unwrap();
     let block = readme.split("```jsonc\n").nth(1).unwrap();
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! The time line: events of this process as JSON lines, stamped with a hybrid logical clock.
+//! Timeline events of this process: JSON lines with timestamps of a hybrid logical clock.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,8 +10,9 @@
 use crate::schema::peer;
 use crate::util::{self, Name};
 
-/// A hybrid logical clock: wall time that never steps back and that moves past every stamp seen,
-/// so that a cause sorts before its effect on a host whose clock is behind.
+/// Timestamp of a hybrid logical clock: wall time that never goes back and is later than every
+/// timestamp received, so that a cause sorts before its effect even if the clock of the effect's
+/// host is behind.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Stamp {
     /// Milliseconds since the epoch.
@@ -21,7 +22,7 @@
 }
 
 impl Stamp {
-    /// The next stamp at wall time `wall_ms`.
+    /// Returns the next timestamp at wall time `wall_ms`.
     ///
     /// ```
     /// use cassiagrade::event::Stamp;
@@ -62,7 +63,7 @@
     }
 }
 
-/// Where a router's events go.
+/// Writer for a router's events.
 #[derive(Clone)]
 pub struct Events {
     host: Name,
@@ -74,32 +75,32 @@
 struct Sink {
     last: Stamp,
     out: Box<dyn Write + Send>,
-    routine: Routine,
+    routine_budget: RoutineBudget,
 }
 
-/// Lines about requests that went well, a second. Beyond that they are counted and left out, so that
-/// a busy router's log stays bounded and still has every failure.
+/// Rate limit for events of normal request progress. Excess events are counted and dropped, which
+/// bounds the log of a busy router. Events of failures aren't limited.
 const ROUTINE_PER_S: f64 = 200.0;
-/// Such lines that may come at once.
+/// Burst size of the rate limit.
 const ROUTINE_BURST: f64 = 1_000.0;
 
-/// How many lines about requests that went well may still be written.
-struct Routine {
-    left: f64,
-    at: Instant,
+/// Token bucket for events of normal request progress.
+struct RoutineBudget {
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Routine {
+impl RoutineBudget {
     fn take(&mut self) -> bool {
         let now = Instant::now();
-        let grown = now.duration_since(self.at).as_secs_f64() * ROUTINE_PER_S;
-        self.at = now;
-        self.left = (self.left + grown).min(ROUTINE_BURST);
-        if self.left < 1.0 {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * ROUTINE_PER_S;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + refill).min(ROUTINE_BURST);
+        if self.tokens < 1.0 {
             counter!("cassiagrade_events_left_out_total").increment(1);
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -124,12 +125,12 @@
 }
 
 impl Events {
-    /// Events of `host`, written to `out`.
+    /// Creates a writer for the events of `host`; with `out` as `None`, events are off.
     pub fn open(host: Name, data_center: Name, out: Option<Box<dyn Write + Send>>) -> Self {
         Self::open_with_clock(host, data_center, out, util::wall_ms)
     }
 
-    /// The same by a clock of the caller's choice, such as one that is wrong.
+    /// Like [`Self::open`], with the given wall clock, such as a skewed one in tests.
     pub fn open_with_clock(
         host: Name,
         data_center: Name,
@@ -138,11 +139,15 @@
     ) -> Self {
         let sink = out.map(|out| {
             let last = Stamp::default();
-            let routine = Routine {
-                left: ROUTINE_BURST,
-                at: Instant::now(),
+            let routine_budget = RoutineBudget {
+                tokens: ROUTINE_BURST,
+                refilled_at: Instant::now(),
             };
-            Arc::new(Mutex::new(Sink { last, out, routine }))
+            Arc::new(Mutex::new(Sink {
+                last,
+                out,
+                routine_budget,
+            }))
         });
         Self {
             host,
@@ -152,11 +157,11 @@
         }
     }
 
-    /// Writes one event; `fill` sets what the kind needs. Costs nothing when events are off.
+    /// Writes one event; `fill` sets the fields of its kind and isn't called when events are off.
     pub fn emit(&self, kind: Kind, fill: impl FnOnce(&mut Event)) {
         let Some(sink) = &self.sink else { return };
-        let is_left_out = |mut sink: MutexGuard<'_, Sink>| !sink.routine.take();
-        if is_routine(kind) && sink.lock().is_ok_and(is_left_out) {
+        let is_dropped = |mut sink: MutexGuard<'_, Sink>| !sink.routine_budget.take();
+        if is_routine(kind) && sink.lock().is_ok_and(is_dropped) {
             return;
         }
         let mut event = Event {
@@ -172,12 +177,12 @@
         event.seq = sink.last.seq;
         if let Ok(mut line) = serde_json::to_vec(&event) {
             line.push(b'\n');
-            // A time line that can't be written must not stop the request path.
+            // A failed write must not affect the request.
             let _ = sink.out.write_all(&line);
         }
     }
 
-    /// Writes one event of a request on its way.
+    /// Writes one event of a forwarded request.
     pub(crate) fn emit_request(
         &self,
         kind: Kind,
@@ -194,7 +199,7 @@
         });
     }
 
-    /// A stamp to send with a message; `None` when events are off.
+    /// Returns a timestamp to send with a message; `None` when events are off.
     #[must_use]
     pub fn stamp(&self) -> Option<peer::Stamp> {
         let mut sink = self.sink.as_ref()?.lock().ok()?;
@@ -202,7 +207,7 @@
         Some(sink.last.into())
     }
 
-    /// Moves the clock past a stamp that came with a message.
+    /// Advances the clock to a timestamp received with a message.
     pub fn observe(&self, seen: Option<&peer::Stamp>) {
         let (Some(sink), Some(seen)) = (&self.sink, seen) else {
             return;
@@ -213,7 +218,7 @@
     }
 }
 
-/// How a chat's key stands in the time line.
+/// Formats a chat's key as written in events.
 pub(crate) fn chat_name(key: u64) -> String {
     format!("{key:016x}")
 }
--- a/src/exporter.rs
+++ b/src/exporter.rs
@@ -1,8 +1,8 @@
-//! Where the metrics of this process are kept, and their page.
+//! Metrics registry of this process, rendered as a Prometheus page.
 //!
-//! The recorder is `metrics-prometheus`. `metrics-exporter-prometheus` compares the processor's clock with the
-//! system's when it is built, in a loop of up to 200 ms: on hosts with an eighth of a core routers served their first
-//! request 0.1 s later for it (middle of 19 that lost power together).
+//! Uses `metrics-prometheus` because `metrics-exporter-prometheus` calibrates its clock for up to
+//! 200 ms when it is built. On hosts with an eighth of a core, this delayed a router's first
+//! request by a median of 0.1 s (19 routers).
 
 use metrics_prometheus::Recorder;
 use metrics_prometheus::failure::strategy::NoOp;
@@ -11,21 +11,21 @@
 
 use crate::stats;
 
-/// Why metrics can't be kept.
+/// Errors when installing the metrics recorder.
 #[derive(Debug, Snafu)]
 pub enum ExporterError {
-    /// A histogram has a bad name or stands twice.
-    #[snafu(display("histogram refused: {source}"))]
+    /// A histogram has an invalid name or is registered twice.
+    #[snafu(display("cannot register a histogram: {source}"))]
     Histogram {
-        /// What was wrong.
+        /// The cause.
         source: prometheus::Error,
     },
-    /// The process keeps its metrics elsewhere already.
-    #[snafu(display("metrics are kept already"))]
+    /// The process already has a metrics recorder.
+    #[snafu(display("a metrics recorder is already installed in this process"))]
     Installed,
 }
 
-/// The metrics of this process.
+/// Handle to the metrics registry of this process.
 ///
 /// ```
 /// let exporter = cassiagrade::exporter::Exporter::install().unwrap();
@@ -38,10 +38,10 @@
 }
 
 impl Exporter {
-    /// Keeps the metrics of this process from now on.
+    /// Installs the metrics recorder of this process.
     ///
     /// # Errors
-    /// When they are kept already.
+    /// When one is already installed.
     pub fn install() -> Result<Self, ExporterError> {
         let registry = Registry::new();
         let mut builder = Recorder::builder()
@@ -61,11 +61,11 @@
         Ok(Self { registry })
     }
 
-    /// The page, in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let rendered = TextEncoder::new().encode_to_string(&self.registry.gather());
         rendered
-            .inspect_err(|e| log::error!("metrics not rendered: {e}"))
+            .inspect_err(|e| log::error!("cannot render the metrics page, sending it empty: {e}"))
             .unwrap_or_default()
     }
 }
--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -1,4 +1,4 @@
-//! Callers' connections as they come: as many as may be open are served, the others told so at once.
+//! Accepts callers' connections up to a limit, and refuses further ones with a typed answer.
 
 use std::io;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::schema::settings::Limits;
 use crate::stats;
 
-/// What a caller that met the limit is told.
+/// Message of the refusal for connections over the limit.
 pub(crate) const FULL: &str =
     "this router holds as many connections as it may: use another address";
-/// Share of the files that callers' connections may take: each may need one to an upstream too, and
-/// some of these are kept idle. The rest is for peers, pages and the platform.
+/// Share of the process's file descriptors for callers' connections. Each may need a second one for
+/// its upstream, some of which are kept idle; the rest is for peers, pages and the platform.
 const CALLERS_SHARE: f64 = 0.55;
-/// Refused connections that are kept at once until their caller has read why.
+/// Limit on refused connections that are kept open until their caller has read the refusal.
 const MAX_LINGERING: usize = 64;
-/// How long one of them is kept.
+/// How long a refused connection is kept open.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// How many connections callers may have open.
+/// Returns the limit on callers' open connections.
 ///
-/// Failure guarded against: callers take every file that the process may open. Then no upstream can be
-/// called for those who are connected, and new callers wait without a word in the kernel's queue.
+/// Failure guarded against: callers' connections use all file descriptors of the process. Then no
+/// upstream can be connected, and new callers wait in the kernel's accept queue without an answer.
 pub(crate) fn max_connections(limits: &Limits) -> usize {
-    let told = limits.max_connections as usize;
+    let configured = limits.max_connections as usize;
     if limits.max_open_files < 1.0 {
-        return told;
+        return configured;
     }
     let share = limits.max_open_files * CALLERS_SHARE;
-    told.min(share as usize).max(1)
+    configured.min(share as usize).max(1)
 }
 
-/// Accepts callers for as long as the process runs; `full` is the whole answer to one too many.
+/// Accepts callers until the process ends; `full` is the complete answer over the limit.
 pub(crate) async fn run<F, Fut>(listener: TcpListener, limits: Limits, full: Vec<u8>, serve: F)
 where
     F: Fn(TcpStream, ConnectionPermit) -> Fut,
@@ -52,32 +52,32 @@
         }
         stats::refused(Cause::ConnectionLimit.into());
         if let Some(permit) = lingering.take() {
-            compio::runtime::spawn(turn_away(stream, full.clone(), permit)).detach();
+            compio::runtime::spawn(refuse(stream, full.clone(), permit)).detach();
         }
     }
 }
 
-/// Tells a caller at once that no connection is free.
-async fn turn_away(mut stream: TcpStream, full: Vec<u8>, _permit: ConnectionPermit) {
-    let told = async {
+/// Sends `full` on a connection over the limit and closes it.
+async fn refuse(mut stream: TcpStream, full: Vec<u8>, _permit: ConnectionPermit) {
+    let reply = async {
         stream.write_all(full).await.0?;
         linger(&mut stream).await
     };
-    // The caller may have gone, or be slow to read: neither keeps the place.
-    let _ = compio::time::timeout(LINGER, told).await;
+    // The time limit covers callers that disconnected or read slowly.
+    let _ = compio::time::timeout(LINGER, reply).await;
 }
 
-/// Reads what the caller still sends: closing on unread bytes would reset the connection, and the
-/// caller would lose the answer on its way.
+/// Reads until the caller closes. Closing with unread bytes would reset the connection, and the
+/// caller could lose the answer.
 async fn linger(stream: &mut TcpStream) -> io::Result<()> {
     compio::io::AsyncWrite::shutdown(stream).await?;
-    let mut scratch = Vec::with_capacity(MIN_BUFFER_BYTES);
+    let mut buffer = Vec::with_capacity(MIN_BUFFER_BYTES);
     loop {
-        let (read, used) = stream.read(scratch).await.into();
+        let (read, used) = stream.read(buffer).await.into();
         if read? == 0 {
             return Ok(());
         }
-        scratch = used;
-        scratch.clear();
+        buffer = used;
+        buffer.clear();
     }
 }
--- a/src/front/body.rs
+++ b/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Response bodies: whole, or streamed from a channel.
+//! Response bodies, complete or streamed from a channel.
 
 use std::io;
 use std::pin::Pin;
@@ -12,9 +12,10 @@
 
 /// A response body.
 pub(crate) enum Answer {
-    /// Known whole.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// Chunk by chunk; an error cuts the connection, so that a cut answer shows.
+    /// A stream of chunks; an error closes the connection, so that the caller can detect that the
+    /// answer was cut.
     Stream(mpsc::Receiver<io::Result<Bytes>>),
 }
 
@@ -54,17 +55,17 @@
     }
 }
 
-/// The next item of `rx`, or nothing once the reader behind `tx` has gone. Without the second, a
-/// caller that goes while its request waits would only be noticed when there is something to
-/// send: its request would keep its place in the queue, and run for nobody.
-pub(crate) async fn next_wanted<T, U>(
+/// Returns the next item of `rx`, or `None` once the receiver of `tx` is dropped. Otherwise a caller
+/// that disconnects while its request is queued would only be noticed at the next send, and its
+/// request would stay queued and run for no one.
+pub(crate) async fn recv_while_open<T, U>(
     rx: &mut mpsc::Receiver<T>,
     tx: &mpsc::Sender<U>,
 ) -> Option<T> {
     let next = rx.recv();
-    let gone = tx.closed();
-    pin_mut!(next, gone);
-    match select(next, gone).await {
+    let closed = tx.closed();
+    pin_mut!(next, closed);
+    match select(next, closed).await {
         Either::Left((item, _)) => item,
         Either::Right(_) => None,
     }
--- a/src/front/check.rs
+++ b/src/front/check.rs
@@ -1,4 +1,4 @@
-//! What HTTP leaves open or a caller may get wrong, checked the same way for all callers.
+//! Validates requests beyond what the HTTP parser checks, in the same way for all callers.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 
 use crate::decide::refusal::Cause;
 
-/// Why a request can't be taken; none of it was handed on.
+/// Why a request is rejected before any of it is forwarded.
 #[derive(Debug, Snafu)]
 pub(crate) enum RequestError {
-    /// HTTP/1.0 marks the end of a streamed answer by closing, so that a cut answer would look whole.
+    /// HTTP/1.0 ends a streamed answer by closing the connection, so a cut answer would look complete.
     #[snafu(display("{version:?} can't show a cut answer: use HTTP/1.1"))]
     Version { version: Version },
     #[snafu(display("host: exactly one must be given"))]
     Host,
-    /// Two readers that believe different ones take the same bytes for different requests.
+    /// Parsers that prefer different headers would split the same bytes into different requests
+    /// (request smuggling).
     #[snafu(display("content-length and transfer-encoding: only one may be given"))]
     TwoLengths,
     #[snafu(display("body: more than {max_bytes} bytes"))]
@@ -32,7 +33,7 @@
 }
 
 impl RequestError {
-    /// The refusal's cause.
+    /// Returns the cause of the refusal.
     pub(crate) fn cause(&self) -> Cause {
         match self {
             Self::Version { .. } | Self::Host | Self::TwoLengths | Self::Broken { .. } => {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Checks version, host and the way in which the body's length is told.
+/// Checks the version, the `host` header and the framing of the body.
 pub(crate) fn head(parts: &Parts) -> Result<(), RequestError> {
     let headers = &parts.headers;
     if parts.version != Version::HTTP_11 {
@@ -60,19 +61,19 @@
     Ok(())
 }
 
-/// Whether what follows on this connection can't be told from another request.
+/// Whether the body's length is ambiguous, so that the connection can't be reused.
 pub(crate) fn has_two_lengths(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) && headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Reads a body within the bounds on its size and its time.
+/// Reads a body within limits on size and time.
 pub(crate) async fn body(
     headers: &HeaderMap,
     body: &mut Incoming,
     max_bytes: usize,
     timeout: Duration,
 ) -> Result<Bytes, RequestError> {
-    if announced(headers).is_some_and(|bytes| bytes > max_bytes as u64) {
+    if declared_length(headers).is_some_and(|bytes| bytes > max_bytes as u64) {
         return TooLargeSnafu { max_bytes }.fail();
     }
     let whole = Limited::new(body, max_bytes).collect();
@@ -90,7 +91,7 @@
     Ok(whole.to_bytes())
 }
 
-/// The body's length as its sender announced it.
-fn announced(headers: &HeaderMap) -> Option<u64> {
+/// Returns the body's length by the `content-length` header.
+fn declared_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its bytes bounded, its pauses too, cut when its caller stalls.
+//! Serves one caller's connection within limits on bytes and time, and cuts it if the caller stalls.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -14,29 +14,30 @@
 use crate::front::Drain;
 use crate::front::body::Answer;
 use crate::front::head_clock::HeadClock;
-use crate::front::paced::Paced;
+use crate::front::paced::PacedStream;
 use crate::stats;
 
-/// Hyper's least buffer.
+/// Smallest buffer size that hyper accepts.
 pub(crate) const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// The parser's bounds stand above the typed refusal's, so that most callers get the typed one.
+/// Factor of the parser's limits over the router's own, so that most oversized requests get the typed
+/// refusal instead of the parser's error.
 const PARSER_SLACK: usize = 2;
 
-/// What one connection may send, and how long it may take.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
-    /// Request line and headers.
+    /// Size of the request line and headers.
     pub(crate) header_bytes: usize,
     pub(crate) headers: usize,
-    /// From the first byte of a request's head to its last.
+    /// Time from the first to the last byte of a request head.
     pub(crate) head_time: Duration,
-    /// Between two requests.
+    /// Time between two requests.
     pub(crate) idle_time: Duration,
-    /// A caller that reads nothing for this long is cut.
+    /// Time for which a write may be blocked before the connection is cut.
     pub(crate) blocked_time: Duration,
 }
 
-/// Serves `stream` until its caller goes or stalls; `handle` answers one request.
+/// Serves `stream` until its caller disconnects or stalls; `handle` answers one request.
 pub(crate) async fn serve<F, Fut>(stream: TcpStream, bounds: Bounds, drain: Drain, handle: F)
 where
     F: Fn(Request<Incoming>) -> Fut,
@@ -46,18 +47,18 @@
     let head_clock = HeadClock::new(bounds.head_time);
     let clock = head_clock.clone();
     let service = service_fn(move |request| {
-        clock.whole();
+        clock.head_complete();
         let answer = handle(request);
         let (drain, clock) = (drain.clone(), clock.clone());
         async move {
             let in_flight = drain.begin();
             let mut response = answer.await;
-            drain.mark(&mut response);
-            clock.answered();
-            Ok::<_, Infallible>(in_flight.carry(response))
+            drain.close_if_stopping(&mut response);
+            clock.response_started();
+            Ok::<_, Infallible>(in_flight.track(response))
         }
     });
-    let stream = Paced::new(stream, head_clock.clone());
+    let stream = PacedStream::new(stream, head_clock.clone());
     let blocked = stream.blocked();
     let served = hyper::server::conn::http1::Builder::new()
         .timer(CompioTimer)
@@ -67,10 +68,10 @@
         .serve_connection(stream, service);
     let stalled = async {
         let blocked = pin!(blocked.longer_than(bounds.blocked_time));
-        let slow = pin!(head_clock.slow());
+        let slow = pin!(head_clock.wait_until_slow());
         match select(blocked, slow).await {
             Either::Left(_) => "it stopped reading",
-            Either::Right(_) => "its request's head took too long",
+            Either::Right(_) => "its request head took longer than the limit",
         }
     };
     match select(pin!(served), pin!(stalled)).await {
--- a/src/front/drain.rs
+++ b/src/front/drain.rs
@@ -1,8 +1,8 @@
-//! A planned stop: what this router still takes, what is in flight, and how it ends.
+//! Drain state of a router: the phase of a planned stop and the requests in flight.
 //!
-//! Failure guarded against: a router that is stopped cuts the answers it carries, and callers that
-//! still hold its address run into a closed door. It announces the stop first, keeps serving until
-//! no entry answer names it any more, then refuses new work and ends when the last answer left.
+//! Failure guarded against: a stopping router cuts answers in flight, and callers that still use its
+//! address can't connect. The router therefore announces the stop, keeps serving until no valid
+//! entry answer names it, then refuses new work and stops when the last answer is sent.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -15,32 +15,32 @@
 use http_body::{Body, Frame, SizeHint};
 use strum::IntoStaticStr;
 
-/// How often the end of what is in flight is looked for.
-const LOOK: Duration = Duration::from_millis(20);
-/// For the last bytes of the last answer to leave after it was counted as ended.
-const LAST_BYTES: Duration = Duration::from_millis(100);
+/// Interval between checks whether requests are in flight.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the kernel to send the last bytes after the last request was counted as finished.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// How far the stop is.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, Default, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Phase {
     /// No stop is planned.
     #[default]
     Serving,
-    /// Announced; callers and peers that haven't heard are still served.
+    /// The stop is announced; callers and peers that aren't aware of it are still served.
     Leaving,
-    /// New work is refused; what is in flight ends.
+    /// New work is refused; requests in flight are finished.
     Refusing,
 }
 
-/// The state of the stop, shared by the tasks that take work.
+/// Drain state, shared by the tasks that accept work.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Drain {
     phase: Rc<Cell<Phase>>,
     in_flight: Rc<Cell<usize>>,
 }
 
-/// Counts one request as long as it lives.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight(Rc<Cell<usize>>);
 
@@ -66,15 +66,15 @@
         log::info!("{name}, {} in flight", self.in_flight());
     }
 
-    /// Waits until nothing is in flight, for at most `limit`; returns how many are left then.
-    pub(crate) async fn ended(&self, limit: Duration) -> usize {
+    /// Waits until no request is in flight, for at most `limit`; returns the number that remain.
+    pub(crate) async fn wait_until_idle(&self, limit: Duration) -> usize {
         let started = Instant::now();
         while self.in_flight() > 0 && started.elapsed() < limit {
-            compio::time::sleep(LOOK).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
-        let left = self.in_flight();
-        compio::time::sleep(LAST_BYTES).await;
-        left
+        let remaining = self.in_flight();
+        compio::time::sleep(FLUSH_DELAY).await;
+        remaining
     }
 
     pub(crate) fn phase(&self) -> Phase {
@@ -85,8 +85,8 @@
         self.phase.get() != Phase::Serving
     }
 
-    /// While stopping, asks the caller to open its next connection elsewhere.
-    pub(crate) fn mark<B>(&self, response: &mut Response<B>) {
+    /// Adds `connection: close` while stopping, so that the caller connects to another router.
+    pub(crate) fn close_if_stopping<B>(&self, response: &mut Response<B>) {
         if self.is_stopping() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -95,8 +95,8 @@
 }
 
 impl InFlight {
-    /// Counts `response` until its last byte was taken.
-    pub(crate) fn carry<B>(self, response: Response<B>) -> Response<Tracked<B>> {
+    /// Counts `response` as in flight until its body is dropped.
+    pub(crate) fn track<B>(self, response: Response<B>) -> Response<Tracked<B>> {
         response.map(|body| Tracked {
             body,
             _in_flight: self,
@@ -104,7 +104,7 @@
     }
 }
 
-/// A response body that counts as in flight until it is dropped.
+/// Response body that counts as in flight until it is dropped.
 pub(crate) struct Tracked<B> {
     body: B,
     _in_flight: InFlight,
--- a/src/front/head_clock.rs
+++ b/src/front/head_clock.rs
@@ -1,4 +1,4 @@
-//! How long the head of a request takes to come in.
+//! Time limit on receiving a request head.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,24 +6,24 @@
 
 use tokio::sync::Notify;
 
-/// Looks at a slow head in each limit.
-const LOOKS_PER_LIMIT: u32 = 4;
+/// Number of checks of a slow head per time limit.
+const POLLS_PER_LIMIT: u32 = 4;
 
-/// Since when a request's head has been coming in.
+/// Tracks how long a request head has been arriving.
 ///
-/// Failure guarded against: a caller sends a head byte by byte, and each of many such connections
-/// keeps its place and its buffer for as long as an idle one may. The limit on heads holds while
-/// bytes come; a connection that rests, also in mid-head, is held to the limit on idle ones.
+/// Failure guarded against: callers send heads byte by byte, and each such connection keeps its
+/// permit and buffer for as long as an idle connection may. The head limit applies while bytes
+/// arrive; the idle limit applies to a connection without traffic, even in the middle of a head.
 #[derive(Clone)]
 pub(crate) struct HeadClock {
     limit: Duration,
-    coming: Rc<Cell<Option<Coming>>>,
+    reading: Rc<Cell<Option<HeadRead>>>,
     in_request: Rc<Cell<bool>>,
-    begun: Rc<Notify>,
+    read_started: Rc<Notify>,
 }
 
 #[derive(Clone, Copy)]
-struct Coming {
+struct HeadRead {
     first: Instant,
     last: Instant,
 }
@@ -32,50 +32,51 @@
     pub(crate) fn new(limit: Duration) -> Self {
         Self {
             limit,
-            coming: Rc::default(),
+            reading: Rc::default(),
             in_request: Rc::default(),
-            begun: Rc::default(),
+            read_started: Rc::default(),
         }
     }
 
-    /// Bytes came in. After a rest they begin anew: the rest of a body that nobody read may have come
-    /// before it.
+    /// Records received bytes. After a pause of the limit a new head is assumed, because the bytes
+    /// before may be the unread rest of a body.
     pub(crate) fn received(&self) {
         if self.in_request.get() {
             return;
         }
         let now = Instant::now();
-        let known = self.coming.get().filter(|c| now - c.last < self.limit);
+        let known = self.reading.get().filter(|c| now - c.last < self.limit);
         let first = known.map_or(now, |c| c.first);
-        self.coming.set(Some(Coming { first, last: now }));
-        self.begun.notify_waiters();
+        self.reading.set(Some(HeadRead { first, last: now }));
+        self.read_started.notify_waiters();
     }
 
-    /// A head is whole.
-    pub(crate) fn whole(&self) {
-        self.coming.set(None);
+    /// Records that a request head is complete.
+    pub(crate) fn head_complete(&self) {
+        self.reading.set(None);
         self.in_request.set(true);
     }
 
-    /// The answer to the request has its head: what comes in now may be another's.
-    pub(crate) fn answered(&self) {
+    /// Records that the response has started: bytes received from now on may be the next head.
+    pub(crate) fn response_started(&self) {
         self.in_request.set(false);
     }
 
     fn is_slow(&self) -> bool {
         let limit = self.limit;
-        let is_slow = |c: Coming| c.first.elapsed() > limit && c.last.elapsed() < limit / 2;
-        self.coming.get().is_some_and(is_slow)
+        let is_slow = |c: HeadRead| c.first.elapsed() > limit && c.last.elapsed() < limit / 2;
+        self.reading.get().is_some_and(is_slow)
     }
 
-    /// Returns once a head has been coming in for longer than the limit. Of a connection that rests
-    /// nothing is looked at: thousands of timers would wake the host for nothing.
-    pub(crate) async fn slow(&self) {
+    /// Returns once a head has been arriving for longer than the limit. Without bytes of a head it
+    /// waits without a timer, because timers of thousands of idle connections would wake the host
+    /// needlessly.
+    pub(crate) async fn wait_until_slow(&self) {
         while !self.is_slow() {
-            if self.coming.get().is_none() {
-                self.begun.notified().await;
+            if self.reading.get().is_none() {
+                self.read_started.notified().await;
             }
-            compio::time::sleep(self.limit / LOOKS_PER_LIMIT).await;
+            compio::time::sleep(self.limit / POLLS_PER_LIMIT).await;
         }
     }
 }
--- a/src/front/listen.rs
+++ b/src/front/listen.rs
@@ -1,4 +1,4 @@
-//! Accepting connections: bounded in number, and without spinning when none can be accepted.
+//! Accepts a limited number of connections, and pauses when accepting fails.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,10 +6,11 @@
 
 use compio::net::{TcpListener, TcpStream};
 
-/// Out of file descriptors, an accept fails at once, and an immediate retry would take the core.
+/// Pause after a failed accept. Without file descriptors an accept fails at once, and retrying
+/// immediately would use a whole core.
 const RETRY: Duration = Duration::from_millis(10);
 
-/// The next connection of `who`.
+/// Returns the next connection; `who` names its kind in the log.
 pub(crate) async fn accept(listener: &TcpListener, who: &str) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -22,14 +23,14 @@
     }
 }
 
-/// Places for connections of one kind.
+/// Limits the number of open connections of one kind.
 #[derive(Clone)]
 pub(crate) struct ConnectionPermits {
     taken: Rc<Cell<usize>>,
     max: usize,
 }
 
-/// The place of one open connection, free again when dropped.
+/// Permit for one open connection, released on drop.
 pub(crate) struct ConnectionPermit(ConnectionPermits);
 
 impl ConnectionPermits {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// A place, unless all are taken.
+    /// Returns a permit, or `None` if all are in use.
     pub(crate) fn take(&self) -> Option<ConnectionPermit> {
         let taken = self.taken.get();
         if taken >= self.max {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! What every caller of a router meets, whatever it speaks: the connection and its bounds, checks of
-//! what HTTP leaves open, bodies, refusals, and what is in flight when the router stops.
+//! HTTP front end shared by both kinds of routers: connections and their limits, request validation,
+//! bodies, refusals, and draining.
 
 pub(crate) mod accept;
 pub(crate) mod body;
--- a/src/front/paced.rs
+++ b/src/front/paced.rs
@@ -1,9 +1,9 @@
-//! A caller's connection that notices when its caller stops reading.
+//! TCP stream that detects when its caller stops reading.
 //!
-//! The failure: a caller sends a request and then reads nothing. Its answer fills every buffer, the
-//! engine keeps a slot for a stream that nobody takes, and memory grows with each such caller. The
-//! guard: no more is written before the last write left for the kernel, and a write that stays
-//! blocked longer than the limit ends the connection, which cancels the call behind it.
+//! Failure guarded against: a caller sends a request and never reads the answer. The answer fills
+//! all buffers, the engine slot stays in use, and memory grows with each such caller. Therefore
+//! each write waits until the previous one was passed to the kernel, and a write that stays blocked
+//! for longer than the limit closes the connection, which cancels the upstream call.
 
 use std::cell::Cell;
 use std::io;
@@ -18,20 +18,20 @@
 
 use crate::front::head_clock::HeadClock;
 
-/// How often a blocked write is looked at, as a share of the limit.
-const LOOKS_PER_LIMIT: u32 = 4;
+/// Number of checks of a blocked write per time limit.
+const POLLS_PER_LIMIT: u32 = 4;
 
-/// Since when a connection's write has been blocked.
+/// Tracks since when a connection's write has been blocked.
 #[derive(Clone, Default)]
-pub(crate) struct Blocked {
+pub(crate) struct BlockedWrite {
     since: Rc<Cell<Option<Instant>>>,
 }
 
-impl Blocked {
+impl BlockedWrite {
     /// Returns once a write has been blocked for longer than `limit`.
     pub(crate) async fn longer_than(&self, limit: Duration) {
         loop {
-            compio::time::sleep(limit / LOOKS_PER_LIMIT).await;
+            compio::time::sleep(limit / POLLS_PER_LIMIT).await;
             let since = self.since.get();
             if since.is_some_and(|at| at.elapsed() > limit) {
                 return;
@@ -39,7 +39,7 @@
         }
     }
 
-    fn note<T>(&self, poll: Poll<T>) -> Poll<T> {
+    fn record<T>(&self, poll: Poll<T>) -> Poll<T> {
         if poll.is_ready() {
             self.since.set(None);
         } else if self.since.get().is_none() {
@@ -49,28 +49,28 @@
     }
 }
 
-/// A TCP stream for hyper whose writes are paced by its reader.
-pub(crate) struct Paced {
+/// TCP stream for hyper that accepts a write only after the previous one is flushed.
+pub(crate) struct PacedStream {
     inner: HyperStream<TcpStream>,
-    blocked: Blocked,
+    blocked: BlockedWrite,
     head_clock: HeadClock,
 }
 
-impl Paced {
+impl PacedStream {
     pub(crate) fn new(stream: TcpStream, head_clock: HeadClock) -> Self {
         Self {
             inner: HyperStream::new_plain(stream),
-            blocked: Blocked::default(),
+            blocked: BlockedWrite::default(),
             head_clock,
         }
     }
 
-    pub(crate) fn blocked(&self) -> Blocked {
+    pub(crate) fn blocked(&self) -> BlockedWrite {
         self.blocked.clone()
     }
 }
 
-impl Read for Paced {
+impl Read for PacedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -82,7 +82,7 @@
     }
 }
 
-impl Write for Paced {
+impl Write for PacedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -107,11 +107,11 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Write::poll_flush(Pin::new(&mut self.inner), cx);
-        self.blocked.note(poll)
+        self.blocked.record(poll)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Write::poll_shutdown(Pin::new(&mut self.inner), cx);
-        self.blocked.note(poll)
+        self.blocked.record(poll)
     }
 }
--- a/src/front/pages.rs
+++ b/src/front/pages.rs
@@ -1,4 +1,4 @@
-//! Small pages over HTTP that need no waiting.
+//! HTTP server for small pages that are rendered without waiting.
 
 use std::convert::Infallible;
 use std::io;
@@ -14,20 +14,20 @@
 
 use crate::front::body::Answer;
 use crate::front::listen::{self, ConnectionPermit, ConnectionPermits};
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 
-/// More callers ask at once only after all of them lost their addresses.
+/// Limit on open connections; more are expected only if all callers lose their addresses at once.
 const MAX_CONNECTIONS: usize = 512;
-/// A connection without a request for this long is closed.
+/// Time after which a connection without a request is closed.
 const IDLE: Duration = Duration::from_secs(15);
 
-/// Answers requests at once.
+/// Renders the answers to requests.
 pub(crate) trait Page: 'static {
-    /// The answer to one request.
+    /// Returns the answer to one request.
     fn page(&self, request: &Request<Incoming>) -> Response<Answer>;
 }
 
-/// Serves `pages` at `addr`.
+/// Serves `pages` at `addr`, and returns the bound address.
 pub(crate) async fn bind<P: Page>(addr: SocketAddr, pages: Rc<P>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
@@ -45,7 +45,7 @@
 }
 
 async fn serve<P: Page>(stream: TcpStream, pages: Rc<P>, _permit: ConnectionPermit) {
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let service = service_fn(move |request| {
         let response = pages.page(&request);
         async move { Ok::<_, Infallible>(response) }
@@ -56,6 +56,6 @@
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
     if let Err(e) = served {
-        log::debug!("page connection ended: {e}");
+        log::debug!("page connection closed with an error: {e}");
     }
 }
--- a/src/front/refusal.rs
+++ b/src/front/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers see them: a status, typed JSON and a `Retry-After` header.
+//! HTTP form of refusals: a status, typed JSON and a `Retry-After` header.
 
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
@@ -7,12 +7,12 @@
 use crate::decide::refusal::Cause;
 use crate::front::body::Answer;
 
-/// What a refusal's body says.
+/// The `error` object in the body of a refusal.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(crate) struct Words<'a> {
+pub(crate) struct ErrorBody<'a> {
     pub(crate) cause: &'a str,
     pub(crate) run_state: &'a str,
-    /// 0 where coming back won't help.
+    /// 0 if a retry can't succeed.
     pub(crate) retry_after_ms: u64,
     pub(crate) message: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -20,11 +20,11 @@
 }
 
 #[derive(Serialize)]
-struct Body<'a> {
-    error: Words<'a>,
+struct ErrorResponse<'a> {
+    error: ErrorBody<'a>,
 }
 
-/// The status that tells `cause`.
+/// Returns the HTTP status for `cause`.
 pub(crate) fn status(cause: Cause) -> StatusCode {
     match cause {
         Cause::Unauthorized => StatusCode::UNAUTHORIZED,
@@ -50,15 +50,17 @@
     }
 }
 
-impl Words<'_> {
+impl ErrorBody<'_> {
     pub(crate) fn json(self) -> String {
-        serde_json::to_string(&Body { error: self })
-            .inspect_err(|e| log::error!("refusal without a body: {e}"))
+        serde_json::to_string(&ErrorResponse { error: self })
+            .inspect_err(|e| {
+                log::error!("cannot serialize a refusal, sending it with an empty body: {e}")
+            })
             .unwrap_or_default()
     }
 
-    /// The refusal as the bytes of a whole response that ends its connection, for a caller whose
-    /// request is not read.
+    /// Returns the refusal as the bytes of a complete HTTP response that closes the connection, for a
+    /// caller whose request isn't read.
     pub(crate) fn raw(self, status: StatusCode, retry_after: &str) -> Vec<u8> {
         let json = self.json();
         format!(
@@ -69,7 +71,7 @@
         .into_bytes()
     }
 
-    /// The refusal as a whole answer; `retry_after` is the time to come back as its reader writes it.
+    /// Returns the refusal as a response; `retry_after` is the value of the `Retry-After` header.
     pub(crate) fn response(self, status: StatusCode, retry_after: HeaderValue) -> Response<Answer> {
         let mut response = Response::new(Answer::whole(self.json()));
         *response.status_mut() = status;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
 //! A router fleet that stands between callers and model engines or plain services.
 //!
-//! Every process is a *router*: one role, one binary, any number of equals. [`router::Router`]
-//! runs one; [`decide`] holds the policy that says who is served, who waits, who is refused and
-//! where work goes, with no network and no clock of its own; [`log`] holds what must be agreed or
-//! kept, on the platform's append-only log; [`fleet`] finds the other routers and each upstream's
-//! home; [`serve`] runs a router on the project's own log, [`path`] one on a platform with a keyed log.
-//! Both stand on `front`, which holds callers' connections, and `peers`, which talks to other routers.
+//! Every process is a *router*; all routers run the same binary in the same role.
+//! [`router::Router`] runs a router on the project's own log protocol, using [`serve`];
+//! [`routed::KeyedLogRouter`] runs one on a platform with a keyed log, using [`path`].
+//! [`decide`] holds the admission, queueing and routing policy, without network or clock access.
+//! [`log`] stores configuration, claims and leases on the platform's append-only log, and [`fleet`]
+//! tracks membership and each upstream's home. `front` handles callers' connections, and `peers`
+//! the communication with other routers.
 
 pub mod cmd;
 pub mod config;
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -138,7 +138,7 @@
 
     fn claim(&mut self, claim: Claim, now_ms: u64) {
         let key = self.key(&claim.key, now_ms);
-        if key.dead.contains_key(&claim.id) && !mutated(Mutation::ForgetDead) {
+        if key.dead.contains_key(&claim.id) && !mutated(Mutation::ForgetReleasedClaim) {
             return;
         }
         match &key.status {
@@ -217,7 +217,7 @@
     if key_ms > now_ms + CLOCK_MARGIN_MS {
         return KeyAge::Future;
     }
-    let margin_ms = if mutated(Mutation::NoMargin) {
+    let margin_ms = if mutated(Mutation::NoRetentionMargin) {
         0
     } else {
         2 * CLOCK_MARGIN_MS
--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -318,7 +318,7 @@
         if !matches!(request.stage, Stage::Fresh | Stage::Asked(_)) {
             return;
         }
-        if matches!(request.stage, Stage::Asked(_)) && !mutated(Mutation::AskAgain) {
+        if matches!(request.stage, Stage::Asked(_)) && !mutated(Mutation::ReuseClaimId) {
             let given_up = Release {
                 id: request.claim.id.clone(),
                 key: request.claim.key.clone(),
@@ -552,12 +552,12 @@
     finds_nothing::<Claims>("claims");
 }
 
-#[test_case(Mutation::AskAgain)]
-#[test_case(Mutation::ForgetDead)]
-#[test_case(Mutation::TrustAppend)]
-#[test_case(Mutation::GiveUpSilently)]
-#[test_case(Mutation::NeverReadBack)]
-#[test_case(Mutation::NoMargin)]
+#[test_case(Mutation::ReuseClaimId)]
+#[test_case(Mutation::ForgetReleasedClaim)]
+#[test_case(Mutation::SkipReadAfterAppend)]
+#[test_case(Mutation::AbandonWithoutRelease)]
+#[test_case(Mutation::SkipReadBack)]
+#[test_case(Mutation::NoRetentionMargin)]
 fn planted_fault_is_found(fault: Mutation) {
     finds::<Claims>("claims", fault);
 }
--- a/src/log/config.rs
+++ b/src/log/config.rs
@@ -98,7 +98,7 @@
         };
         match record.body {
             Some(Body::Change(change)) => self.try_change(&record.id, change),
-            Some(Body::Snapshot(state)) if mutated(Mutation::SnapshotWins) => {
+            Some(Body::Snapshot(state)) if mutated(Mutation::SnapshotOverwrites) => {
                 self.state = State {
                     offset: self.state.offset,
                     ..state
@@ -112,7 +112,7 @@
 
     /// Takes a state from a peer or a snapshot, if it is newer than one's own.
     pub fn restore(&mut self, state: State) -> bool {
-        let newer = state.offset > self.state.offset || mutated(Mutation::TakeLower);
+        let newer = state.offset > self.state.offset || mutated(Mutation::AcceptOlderState);
         if newer {
             self.state = state;
         }
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -435,12 +435,12 @@
     finds_nothing::<Configuration>("config");
 }
 
-#[test_case(Mutation::SnapshotWins)]
-#[test_case(Mutation::TakeLower)]
+#[test_case(Mutation::SnapshotOverwrites)]
+#[test_case(Mutation::AcceptOlderState)]
 #[test_case(Mutation::IgnoreVersion)]
-#[test_case(Mutation::LostIsNotApplied)]
-#[test_case(Mutation::ApplyOverGap)]
-#[test_case(Mutation::LateSnapshot)]
+#[test_case(Mutation::LostReplyIsNotApplied)]
+#[test_case(Mutation::ApplyAcrossGap)]
+#[test_case(Mutation::SnapshotCoversOwnOffset)]
 fn planted_fault_is_found(fault: Mutation) {
     finds::<Configuration>("config", fault);
 }
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -154,7 +154,7 @@
         let id = Uuid::now_v7().to_string();
         match self.append(&id, Body::Change(change)).await {
             Ok(_) => self.settle(&id, note).await,
-            Err(e @ LogError::Unsettled { .. }) if mutated(Mutation::LostIsNotApplied) => {
+            Err(e @ LogError::Unsettled { .. }) if mutated(Mutation::LostReplyIsNotApplied) => {
                 Err(refuse(&e))
             }
             Err(LogError::Unsettled { .. }) => self.settle(&id, note).await,
@@ -264,7 +264,7 @@
     /// stream by kept records. Applying those records to one's own state instead would leave out
     /// what the expired ones changed, and no later record would show it.
     async fn rebase(&mut self, batch: &Batch) -> Result<bool, LogError> {
-        if mutated(Mutation::ApplyOverGap) {
+        if mutated(Mutation::ApplyAcrossGap) {
             let state = State {
                 offset: batch.first,
                 ..self.fold.state().clone()
@@ -283,7 +283,7 @@
                 let joined = |s: &State| s.offset >= batch.first && s.offset <= entry.offset;
                 let newer = |s: &State| best.as_ref().is_none_or(|b| s.offset > b.offset);
                 let mut snapshot = snapshot(&entry.text);
-                if mutated(Mutation::LateSnapshot) {
+                if mutated(Mutation::SnapshotCoversOwnOffset) {
                     snapshot.iter_mut().for_each(|s| s.offset = entry.offset);
                 }
                 if let Some(state) = snapshot.filter(joined).filter(newer) {
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -167,7 +167,7 @@
 
     /// Reads until every claim is found; gives up those that aren't.
     async fn settle(&mut self, mut open: Vec<Waiting>, end: Option<u64>) {
-        if mutated(Mutation::TrustAppend) && end.is_some() {
+        if mutated(Mutation::SkipReadAfterAppend) && end.is_some() {
             open.into_iter().for_each(|w| w.answer(Ok(Verdict::Won)));
             return;
         }
@@ -209,7 +209,7 @@
     /// The claim may still land. Its release makes it harmless, whichever of the two lands first;
     /// its claimant is told that it doesn't hold the key, and so sends nothing.
     fn give_up(&mut self, waiting: Waiting) {
-        if !mutated(Mutation::GiveUpSilently) {
+        if !mutated(Mutation::AbandonWithoutRelease) {
             self.owe(Body::Release(Release {
                 id: waiting.claim.id.clone(),
                 key: waiting.claim.key.clone(),
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -153,7 +153,7 @@
     }
 
     fn lease(&self, upstream: &Name, fencing: u64, began_ms: u64, taken_over: bool) -> Lease {
-        let from_ms = if mutated(Mutation::TermFromGrant) {
+        let from_ms = if mutated(Mutation::TermFromGrantRead) {
             self.timer.now().mono_ms
         } else {
             began_ms
@@ -168,7 +168,7 @@
 
     /// Refuses while the holder may still give orders.
     fn may_follow(&self, granted: &Granted) -> Result<(), LeaseError> {
-        if granted.ended || granted.host == self.host || mutated(Mutation::DontWait) {
+        if granted.ended || granted.host == self.host || mutated(Mutation::SkipTakeoverWait) {
             return Ok(());
         }
         let wait_ms = granted.term_ms + granted.term_ms / DRIFT_DIVISOR + 1;
@@ -231,7 +231,7 @@
         }
         if let Some(granted) = &current {
             let unread = granted.offset >= record.read_to;
-            if unread && !mutated(Mutation::GrantUnread) {
+            if unread && !mutated(Mutation::GrantWithUnreadRecords) {
                 return;
             }
             invariant(offset > granted.offset, "a fencing number went back");
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -333,9 +333,9 @@
     finds_nothing::<Leases>("leases");
 }
 
-#[test_case(Mutation::GrantUnread)]
-#[test_case(Mutation::DontWait)]
-#[test_case(Mutation::TermFromGrant)]
+#[test_case(Mutation::GrantWithUnreadRecords)]
+#[test_case(Mutation::SkipTakeoverWait)]
+#[test_case(Mutation::TermFromGrantRead)]
 fn planted_fault_is_found(fault: Mutation) {
     finds::<Leases>("leases", fault);
 }
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -138,7 +138,7 @@
     /// Whether all claims that may come before a fresh one of a key of time `key_ms` were read, but
     /// for the newest.
     pub fn covers(&self, key_ms: u64) -> bool {
-        mutated(Mutation::NeverReadBack)
+        mutated(Mutation::SkipReadBack)
             || self.covered_from_ms == 0
             || self.covered_from_ms < needed_from(key_ms)
     }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs: JSON lines on standard output, each with host, data centre and what the log call names,
-//! among it the request's id where there is one.
+//! Logger: JSON lines on standard output with host, data centre and the key-value pairs of the log
+//! call, such as the request id.
 
 use std::io::Write;
 
@@ -11,7 +11,7 @@
 use crate::stdout_writer::StdoutWriter;
 use crate::util::wall_ms;
 
-/// Sends logs to `writer`. A second call changes nothing.
+/// Installs a logger that writes to `writer`. Later calls only set the level.
 pub(crate) fn init(settings: &Settings, writer: StdoutWriter) {
     let host = settings.host.clone().unwrap_or_default();
     let dispatch = fern::Dispatch::new()
@@ -21,12 +21,12 @@
             out.finish(format_args!("{line}"));
         })
         .chain(Box::new(writer) as Box<dyn Write + Send>);
-    // Several routers in one process share the first one's logger.
+    // Fails if another router of this process has installed its logger; all share the first one.
     let _ = dispatch.apply();
     set_level(settings);
 }
 
-/// Takes a changed level.
+/// Applies the log level of `settings`.
 pub(crate) fn set_level(settings: &Settings) {
     let level = settings.output.as_ref().map(|o| o.log_level.as_str());
     if let Some(level) = level.and_then(|l| l.parse().ok()) {
@@ -51,7 +51,7 @@
     line
 }
 
-/// Puts what a log call names into its line.
+/// Copies the key-value pairs of a log call into its line.
 struct Fields<'a>(&'a mut Map<String, Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
--- a/src/logs_tests.rs
+++ b/src/logs_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_line_has_host_data_centre_and_request() {
+fn log_line_has_host_data_centre_and_request_id() {
     let ids = [("request_id", "r-1")];
     let record = Record::builder()
         .args(format_args!("upstream failed"))
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_line_without_a_request_has_no_id() {
+fn log_line_without_a_request_has_no_request_id() {
     let record = Record::builder()
         .args(format_args!("a \"quoted\"\nline"))
         .build();
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,15 +5,15 @@
 use bpaf::Bpaf;
 use cassiagrade::cmd;
 
-/// A router fleet for very many returning chats
+/// A router fleet between callers and model engines or plain services
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(
     options,
     version,
     footer(
         "Exit codes: 0 done, 1 wrong command line or system error, 2 wrong settings or input, \
-         3 refused by a rule, 4 lost a race, 5 router not reached: nothing happened, \
-         6 outcome unknown, 7 wrong key, 8 no such thing"
+         3 rejected, 4 lost to a concurrent change, 5 router unreachable and nothing changed, \
+         6 outcome unknown, 7 wrong key, 8 not found"
     )
 )]
 enum Command {
--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -1,53 +1,53 @@
-//! Faults that a test plants, to show that the fuzzers find them. Outside tests none exists.
+//! Faults that tests inject to verify that the fuzz tests detect them. Compiled out of other builds.
 
-/// One fault.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Mutation {
-    /// A released or lost claim isn't remembered, so a late copy of it may hold the key.
-    ForgetDead,
-    /// A claim whose append was answered counts as won, without reading.
-    TrustAppend,
-    /// A claim that wasn't found in time is given up without its release.
-    GiveUpSilently,
-    /// A reader doesn't go back for what landed before it began.
-    NeverReadBack,
-    /// A claim whose answer was lost is asked for again under its old id.
+    /// Released and lost claims aren't recorded, so a delayed duplicate of one may take the key.
+    ForgetReleasedClaim,
+    /// A claim counts as won once its append is acknowledged, without reading the log.
+    SkipReadAfterAppend,
+    /// A claim that wasn't read back in time is abandoned without appending its release.
+    AbandonWithoutRelease,
+    /// A reader skips records appended before it started.
+    SkipReadBack,
+    /// A claim with a lost reply is retried under the same id.
     #[cfg(test)]
-    AskAgain,
-    /// A snapshot replaces the state of whoever reads it.
-    SnapshotWins,
-    /// A peer's state is taken also when it is older.
-    TakeLower,
-    /// A change counts whatever version it was made against.
+    ReuseClaimId,
+    /// A snapshot replaces its reader's state even if that is newer.
+    SnapshotOverwrites,
+    /// A peer's state is accepted even if it is older.
+    AcceptOlderState,
+    /// A change is applied regardless of the version it was made against.
     IgnoreVersion,
-    /// An append whose reply was lost is told as not applied.
-    LostIsNotApplied,
-    /// A reader goes on after records that expired unread, with no snapshot.
-    ApplyOverGap,
-    /// A snapshot counts from where it landed, not from what it covers.
-    LateSnapshot,
-    /// A lease is granted though another was since its taker read.
-    GrantUnread,
-    /// A taker doesn't wait until the holder has stopped.
-    DontWait,
-    /// A holder counts its term from when it read its grant, not from before its append.
-    TermFromGrant,
-    /// A key may be used until the very end of the log's retention.
-    NoMargin,
-    /// What was told while this router stood still counts as fresh.
-    BelieveOldMarks,
-    /// After everything was read anew, the changes kept for others have a gap.
-    KeepChangesOverGap,
-    /// Records that others told already are taken again.
-    TakeOldRecords,
-    /// An evacuation that others told was taken back counts again.
-    TakeOldOrders,
+    /// An append with a lost reply is reported as not applied.
+    LostReplyIsNotApplied,
+    /// A reader continues past records that expired unread, without loading a snapshot.
+    ApplyAcrossGap,
+    /// A snapshot is taken to cover records up to its own offset instead of the offset it states.
+    SnapshotCoversOwnOffset,
+    /// A lease is granted although its requester hasn't read a later grant.
+    GrantWithUnreadRecords,
+    /// A takeover doesn't wait for the holder's lease to expire.
+    SkipTakeoverWait,
+    /// A holder's term starts when it reads its grant instead of before its append.
+    TermFromGrantRead,
+    /// An idempotency key is accepted until the end of the log's retention, without a margin.
+    NoRetentionMargin,
+    /// Evidence from before a suspend of this router still counts as fresh.
+    KeepEvidenceAfterSuspend,
+    /// After a full re-read, the changes kept for peers have a gap.
+    KeepChangesAcrossGap,
+    /// Records already received from peers are applied again.
+    AcceptOldRecords,
+    /// An evacuation that a peer reported as undone is applied again.
+    AcceptOldEvacuations,
     /// An older configuration replaces a newer one.
-    TakeOlderVersion,
-    /// Entries that lapsed while the log was away are gone at once.
-    DoubtNothing,
-    /// A removal that is in doubt here isn't told to the others.
-    HoldRemovalsBack,
+    AcceptOlderVersion,
+    /// Entries that expired while the log was unavailable are removed at once.
+    RemoveExpiredAtOnce,
+    /// A removal that this router hasn't confirmed isn't sent to peers.
+    WithholdUnconfirmedRemovals,
 }
 
 #[cfg(test)]
--- a/src/path/callers.rs
+++ b/src/path/callers.rs
@@ -16,7 +16,7 @@
 use crate::path::routes::CallerLimits;
 use crate::path::{Path, request};
 use crate::schema::settings::Limits;
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 
 /// A caller that reads nothing for this long is cut.
 const BLOCKED: Duration = Duration::from_secs(10);
@@ -48,7 +48,7 @@
     path: Rc<Path<D>>,
     _permit: ConnectionPermit,
 ) {
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let bounds = bounds(&path.state.deployment().limits);
     let drain = path.drain.clone();
     let handle = move |request| request::handle(path.clone(), request);
--- a/src/path/evacuations.rs
+++ b/src/path/evacuations.rs
@@ -39,7 +39,7 @@
     /// Takes the record before offset `at`; tells whether it changed anything. An older one than what is known is left
     /// out: read late, it would bring back what another took back.
     pub fn set(&mut self, at: u64, data_center: &str, evacuated: bool) -> bool {
-        if at <= self.at && !mutated(Mutation::TakeOldOrders) {
+        if at <= self.at && !mutated(Mutation::AcceptOldEvacuations) {
             return false;
         }
         self.at = at.max(self.at);
--- a/src/path/link.rs
+++ b/src/path/link.rs
@@ -16,7 +16,7 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::decide::connections::ConnectionQuota;
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 use crate::util::Name;
 
 /// Share of the upstream's idle timeout for which a connection is taken again: the rest covers the
@@ -138,7 +138,7 @@
         .await
         .map_err(|_| LinkError::TimedOut)?
         .context(RefusedSnafu)?;
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let io = HyperStream::new_plain(stream);
     let (sender, conn) = http1::handshake(io).await.context(HandshakeSnafu)?;
     compio::runtime::spawn(async move {
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -232,7 +232,7 @@
             return;
         }
         // What was written and dropped again since the last read is in nobody's changes here.
-        if !mutated(Mutation::KeepChangesOverGap) {
+        if !mutated(Mutation::KeepChangesAcrossGap) {
             self.start_at(end);
         }
         self.is_bulk.set(true);
@@ -255,7 +255,7 @@
         self.look();
         self.returned();
         for (at, record) in (from + 1..).zip(records) {
-            if at > self.upstreams_at.get() || mutated(Mutation::TakeOldRecords) {
+            if at > self.upstreams_at.get() || mutated(Mutation::AcceptOldRecords) {
                 self.record(at, record);
             }
         }
@@ -317,7 +317,9 @@
     pub(crate) fn returned(&self) {
         let now_ms = self.clock.now_ms();
         let silence_ms = self.upstreams_fresh.get().age_ms(now_ms);
-        if self.upstreams_at.get() > 0 && silence_ms > LAPSE_MS && !mutated(Mutation::DoubtNothing)
+        if self.upstreams_at.get() > 0
+            && silence_ms > LAPSE_MS
+            && !mutated(Mutation::RemoveExpiredAtOnce)
         {
             log::info!("news of upstreams again after {silence_ms} ms");
             self.doubt_until_ms.set(now_ms + RETURN_SLACK_MS);
@@ -330,7 +332,7 @@
             return;
         }
         let in_doubt = self.clock.now_ms() < self.doubt_until_ms.get();
-        if !(in_doubt && mutated(Mutation::HoldRemovalsBack)) {
+        if !(in_doubt && mutated(Mutation::WithholdUnconfirmedRemovals)) {
             self.changed(at, id, Bytes::new());
         }
         if in_doubt {
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -133,13 +133,13 @@
     finds_nothing::<Fleet>("beliefs");
 }
 
-#[test_case(Mutation::BelieveOldMarks)]
-#[test_case(Mutation::KeepChangesOverGap)]
-#[test_case(Mutation::TakeOldRecords)]
-#[test_case(Mutation::TakeOlderVersion)]
-#[test_case(Mutation::TakeOldOrders)]
-#[test_case(Mutation::DoubtNothing)]
-#[test_case(Mutation::HoldRemovalsBack)]
+#[test_case(Mutation::KeepEvidenceAfterSuspend)]
+#[test_case(Mutation::KeepChangesAcrossGap)]
+#[test_case(Mutation::AcceptOldRecords)]
+#[test_case(Mutation::AcceptOlderVersion)]
+#[test_case(Mutation::AcceptOldEvacuations)]
+#[test_case(Mutation::RemoveExpiredAtOnce)]
+#[test_case(Mutation::WithholdUnconfirmedRemovals)]
 fn planted_fault_is_found(fault: Mutation) {
     finds::<Fleet>("beliefs", fault);
 }
--- a/src/path/refusal.rs
+++ b/src/path/refusal.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::refusal::{Cause, RunState};
 use crate::front::body::Answer;
-use crate::front::refusal::{Words, status};
+use crate::front::refusal::{ErrorBody, status};
 use crate::path::dialect::Dialect;
 
 /// Why a request ends without an upstream's answer.
@@ -48,8 +48,8 @@
         )
     }
 
-    fn words<'a>(&'a self, request_id: Option<&'a str>) -> Words<'a> {
-        Words {
+    fn words<'a>(&'a self, request_id: Option<&'a str>) -> ErrorBody<'a> {
+        ErrorBody {
             cause: self.cause.into(),
             run_state: self.run.into(),
             retry_after_ms: self.retry_after_ms,
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -155,7 +155,7 @@
     /// as an operator no longer allows.
     pub(crate) fn configure(&self, deployment: Deployment) -> bool {
         let mut held = self.deployment.borrow_mut();
-        if deployment.version <= held.version && !mutated(Mutation::TakeOlderVersion) {
+        if deployment.version <= held.version && !mutated(Mutation::AcceptOlderVersion) {
             return false;
         }
         *held = Rc::new(deployment);
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -26,7 +26,7 @@
     path.drain.enter(Phase::Refusing);
     let left = path
         .drain
-        .ended(limit.saturating_sub(started.elapsed()))
+        .wait_until_idle(limit.saturating_sub(started.elapsed()))
         .await;
     log::info!("stopped, {left} in flight");
 }
--- a/src/path/suspend.rs
+++ b/src/path/suspend.rs
@@ -43,7 +43,7 @@
     pub(crate) fn look(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let pause_ms = now_ms.saturating_sub(self.looked_ms.replace(now_ms));
-        if pause_ms <= SUSPENDED_MS || mutated(Mutation::BelieveOldMarks) {
+        if pause_ms <= SUSPENDED_MS || mutated(Mutation::KeepEvidenceAfterSuspend) {
             return false;
         }
         log::warn!("suspended for {pause_ms} ms");
--- a/src/peers/probes/mod.rs
+++ b/src/peers/probes/mod.rs
@@ -115,7 +115,7 @@
                     count("received", &body, buffer.len());
                     gossip.send(GossipCommand::Datagram(from, Box::new(body)));
                 }
-                None => stats::stranger(),
+                None => stats::unauthenticated_datagram(),
             },
             // An unreachable peer can cause an error on the socket; the probe's timeout handles it.
             Err(e) => log::debug!("receiving a datagram failed: {e}"),
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -22,7 +22,7 @@
 use crate::peers::http2::LocalExec;
 use crate::peers::{frames, kind};
 use crate::schema::peer::{self, MembersReply, MembersRequest};
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 use crate::stats;
 use crate::util::Name;
 
@@ -53,7 +53,7 @@
 }
 
 async fn serve<H: PeerHandler>(stream: TcpStream, key: Name, drain: Drain, handler: H) {
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
         let (key, drain, handler) = (key.clone(), drain.clone(), handler.clone());
         async move {
@@ -64,7 +64,7 @@
             } else {
                 status(StatusCode::UNAUTHORIZED)
             };
-            Ok::<_, Infallible>(in_flight.carry(response))
+            Ok::<_, Infallible>(in_flight.track(response))
         }
     });
     let served = hyper::server::conn::http2::Builder::new(LocalExec)
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings files that change while the process runs.
+//! Reloads the settings file when it changes or on SIGHUP.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -8,58 +8,58 @@
 use crate::config;
 use crate::schema::settings::Settings;
 
-/// Its number is the same on every POSIX system.
+/// Signal number, the same on every POSIX system.
 const SIGHUP: i32 = 1;
-/// How soon a signal is noticed.
-const LOOK: Duration = Duration::from_millis(500);
-/// Looks between two at the file: some replace it without a signal.
-const LOOKS_PER_STAT: u32 = 4;
+/// Interval between checks for a signal.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The file's metadata is read once in this many polls, to notice changes without a signal.
+const POLLS_PER_STAT: u32 = 4;
 
-/// What of a file shows that it was changed.
-type Version = Option<(SystemTime, u64)>;
+/// Modification time and size of a file.
+type FileStamp = Option<(SystemTime, u64)>;
 
 /// Watches one settings file.
 #[derive(Debug)]
 pub(crate) struct Watch {
     path: PathBuf,
     hangup: Arc<AtomicBool>,
-    seen: Version,
+    seen: FileStamp,
 }
 
 impl Watch {
-    /// Starts watching; from now on the signal no longer ends the process.
+    /// Starts watching and handles SIGHUP, which by default would end the process.
     ///
     /// # Errors
-    /// When the system refuses a handler.
+    /// When the signal handler can't be installed.
     pub(crate) fn open(path: &Path) -> std::io::Result<Self> {
         let hangup = Arc::new(AtomicBool::new(false));
         signal_hook::flag::register(SIGHUP, hangup.clone())?;
         Ok(Self {
             path: path.to_owned(),
             hangup,
-            seen: version(path),
+            seen: file_stamp(path),
         })
     }
 
-    /// Hands each change to `apply`, once it is checked. Of a bad file every fault is logged, and the
-    /// old settings stay in force.
+    /// Passes each valid new version of the settings to `apply`. If the file is invalid, logs every
+    /// fault and keeps the current settings.
     pub(crate) async fn follow(mut self, apply: impl Fn(&Settings)) {
-        let mut looks = 0_u32;
+        let mut polls = 0_u32;
         loop {
-            compio::time::sleep(LOOK).await;
-            looks = looks.wrapping_add(1);
-            let asked = self.hangup.swap(false, Ordering::Relaxed);
-            if !asked && !looks.is_multiple_of(LOOKS_PER_STAT) {
+            compio::time::sleep(POLL_INTERVAL).await;
+            polls = polls.wrapping_add(1);
+            let signalled = self.hangup.swap(false, Ordering::Relaxed);
+            if !signalled && !polls.is_multiple_of(POLLS_PER_STAT) {
                 continue;
             }
-            let now = version(&self.path);
-            if !asked && now == self.seen {
+            let now = file_stamp(&self.path);
+            if !signalled && now == self.seen {
                 continue;
             }
             self.seen = now;
             match config::load(&self.path) {
                 Ok(settings) => {
-                    log::info!("settings read again, by signal: {asked}");
+                    log::info!("settings read again, by signal: {signalled}");
                     apply(&settings);
                 }
                 Err(e) => log::error!("settings not taken, the old ones stay: {e}"),
@@ -68,7 +68,7 @@
     }
 }
 
-fn version(path: &Path) -> Version {
-    let of_file = std::fs::metadata(path).ok()?;
-    Some((of_file.modified().ok()?, of_file.len()))
+fn file_stamp(path: &Path) -> FileStamp {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
 }
--- a/src/routed.rs
+++ b/src/routed.rs
@@ -1,5 +1,5 @@
-//! One running router on a platform whose log keeps the newest record of each key: operators write
-//! routes and accounts there, upstreams that they are there, and requests go straight to upstreams.
+//! Starts a router on a platform whose log keeps the newest record of each key. Operators write
+//! routes and accounts to that log, upstreams register in it, and requests go directly to upstreams.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,21 +33,21 @@
 
 use snafu::ResultExt;
 
-/// A running router. Dropping the handle does not stop it.
+/// Handle to a running router. Dropping it does not stop the router.
 #[derive(Clone)]
-pub struct Routed {
+pub struct KeyedLogRouter {
     path: Rc<Path<Headers>>,
     fleet: Rc<Fleet>,
-    started_with: Rc<Settings>,
+    initial_settings: Rc<Settings>,
     entry_ttl: Rc<Cell<Duration>>,
     grace: Rc<Cell<Duration>>,
 }
 
-impl Routed {
+impl KeyedLogRouter {
     /// Starts a router on the current runtime.
     ///
     /// # Errors
-    /// When an address can't be listened on.
+    /// When an address is invalid or binding a listener fails.
     pub async fn spawn(settings: Settings, outputs: Outputs) -> Result<Self, RouterError> {
         let listen = settings.listen.clone().unwrap_or_default();
         let peer_addr = parse("peer_addr", &listen.peer_addr)?;
@@ -110,17 +110,21 @@
         let limits = settings.limits.unwrap_or_default();
         serve(&listen, limits, &path, entry_ttl.clone()).await?;
         serve_metrics(&listen, outputs.metrics).await?;
-        log::info!("started, callers at {}", listen.caller_addr);
+        log::info!(
+            "router started, listening for callers at {}",
+            listen.caller_addr
+        );
         Ok(Self {
             path,
             fleet,
-            started_with: Rc::new(settings),
+            initial_settings: Rc::new(settings),
             entry_ttl,
             grace: Rc::new(Cell::new(Duration::from_secs_f64(policy.grace_s))),
         })
     }
 
-    /// Takes changed settings. Addresses hold until the next start, which is logged.
+    /// Applies changed settings. Changes of `host`, `listen` and `platform` need a restart and are
+    /// only logged.
     pub fn apply(&self, settings: &Settings) {
         let policy = settings.fleet.clone().unwrap_or_default();
         self.path.state.limit_retries(retry_limit(&policy));
@@ -131,16 +135,16 @@
             .set(Duration::from_millis(policy.entry_ttl_ms.into()));
         self.grace.set(Duration::from_secs_f64(policy.grace_s));
         logs::set_level(settings);
-        if settings.listen != self.started_with.listen
-            || settings.host != self.started_with.host
-            || settings.platform != self.started_with.platform
+        if settings.listen != self.initial_settings.listen
+            || settings.host != self.initial_settings.host
+            || settings.platform != self.initial_settings.platform
         {
-            log::warn!("changes of host, listen and platform hold from the next start on");
+            log::warn!("changed host, listen or platform settings take effect after a restart");
         }
     }
 
-    /// Stops by plan: leads callers away, ends what is in flight, and returns within the grace
-    /// time of the settings.
+    /// Drains this router: directs callers to other routers, finishes requests in flight, and
+    /// returns within `fleet.grace_s`.
     pub async fn drain(&self) {
         let fleet = self.fleet.clone();
         compio::runtime::spawn(async move { fleet.leave().await }).detach();
@@ -209,7 +213,7 @@
     }
 }
 
-/// Which region each data centre is in; at the least this host's.
+/// Returns the region of each data centre; only this host's if the settings list none.
 fn regions(settings: &Settings) -> Regions {
     let host = settings.host.clone().unwrap_or_default();
     if host.data_center_regions.is_empty() {
@@ -218,7 +222,7 @@
     Regions::parse(&host.data_center_regions)
 }
 
-/// Hosts to ask for the fleet; their routers listen on the same port as this one.
+/// Returns the peer addresses of the seed hosts. All routers use the same peer port.
 fn seeds(seed_addrs: &str, own: SocketAddr) -> Vec<Name> {
     let addrs = seed_addrs
         .split(',')
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,4 +1,4 @@
-//! One running router: all its tasks, and how they are wired.
+//! Starts a router on the project's own log protocol and connects its tasks.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -32,55 +32,55 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RouterError {
-    /// An address can't be listened on.
-    #[snafu(display("listen.{field}: {source}"))]
+    /// Binding a listener failed.
+    #[snafu(display("listen.{field}: cannot listen: {source}"))]
     Bind {
-        /// Which address.
+        /// Name of the settings field.
         field: &'static str,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// An address isn't an IP number and port.
+    /// An address isn't an IP address and port.
     #[snafu(display("listen.{field}: {source}"))]
     Addr {
-        /// Which address.
+        /// Name of the settings field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The parse error.
         source: std::net::AddrParseError,
     },
-    /// No client of the platform can be made.
-    #[snafu(display("platform: {source}"))]
+    /// Creating the platform client failed.
+    #[snafu(display("cannot create the platform client: {source}"))]
     Platform {
-        /// What failed.
+        /// The cause.
         source: LogError,
     },
-    /// No client of upstreams can be made.
-    #[snafu(display("upstream client: {source}"))]
+    /// Creating the HTTP client for upstreams failed.
+    #[snafu(display("cannot create the HTTP client for upstreams: {source}"))]
     Client {
-        /// What failed.
+        /// The cause.
         source: cyper::Error,
     },
 }
 
-/// What a router writes to and reports through.
+/// Destinations of a router's events and metrics.
 #[derive(Default)]
 pub struct Outputs {
-    /// Where time line events go.
+    /// Writer for timeline events; `None` turns events off.
     pub events: Option<Box<dyn Write + Send>>,
     /// Renders the metrics page.
     pub metrics: Option<Exporter>,
 }
 
-/// A running router. Dropping the handle does not stop it.
+/// Handle to a running router. Dropping it does not stop the router.
 #[derive(Clone)]
 pub struct Router {
-    /// Callers' HTTP.
+    /// Address for callers' HTTP requests.
     pub caller_addr: SocketAddr,
-    /// Other routers.
+    /// Address for other routers.
     pub peer_addr: SocketAddr,
-    /// Operators' gRPC.
+    /// Address for operators' gRPC calls.
     pub operator_addr: SocketAddr,
-    /// Metrics, health and readiness.
+    /// Address for metrics, health and readiness.
     pub admin_addr: SocketAddr,
     ctx: SharedCtx,
 }
@@ -89,7 +89,7 @@
     /// Starts a router on the current runtime.
     ///
     /// # Errors
-    /// When an address can't be listened on or a client can't be made.
+    /// When binding a listener or creating a client fails.
     pub async fn spawn(settings: Settings, outputs: Outputs) -> Result<Self, RouterError> {
         let listen = settings.listen.clone().unwrap_or_default();
         let caller_addr = parse("caller_addr", &listen.caller_addr)?;
@@ -104,7 +104,7 @@
         let peer_addr = socket
             .local_addr()
             .context(BindSnafu { field: "peer_addr" })?;
-        let (ctx, questions) = context(settings, &listen, socket, outputs.events)?;
+        let (ctx, questions) = build_context(settings, &listen, socket, outputs.events)?;
         let ctx = Rc::new(ctx);
         let http = cyper::Client::new().context(ClientSnafu)?;
         let homes = Homes::new(ctx.clone(), http.clone());
@@ -147,12 +147,11 @@
         Ok(router)
     }
 
-    /// Stops by plan: announces it, serves until the entry answers that name this router are old,
-    /// then refuses new work and returns when what is in flight has ended.
+    /// Drains this router: announces the stop, serves until entry answers that name this router
+    /// have expired, then refuses new work and returns when no request is in flight.
     ///
-    /// It takes at most `fleet.entry_ttl_ms` and `fleet.drain_limit_ms` of the settings together;
-    /// answers that last longer are cut, and picked up by the router that the caller reached when
-    /// that is another one.
+    /// Takes at most `fleet.entry_ttl_ms` plus `fleet.drain_limit_ms`. Answers still in flight then
+    /// are cut; if the caller is connected to another router, that router resumes them.
     pub async fn drain(&self) {
         stop::run(&self.ctx).await;
     }
@@ -162,7 +161,7 @@
     addr.parse().context(AddrSnafu { field })
 }
 
-fn context(
+fn build_context(
     settings: Settings,
     listen: &Listen,
     socket: UdpSocket,
--- a/src/serve/callers/answers.rs
+++ b/src/serve/callers/answers.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::refusal::{Cause, Refusal, RunState};
 use crate::event::{Events, Kind};
-use crate::front::body::{Answer, next_wanted};
+use crate::front::body::{Answer, recv_while_open};
 use crate::peers::refuse;
 use crate::schema::peer;
 use crate::schema::peer::Head;
@@ -40,7 +40,7 @@
     let events = ctx.events.clone();
     let start = Instant::now();
     compio::runtime::spawn(async move {
-        while let Some(body) = next_wanted(&mut rest, &tx).await {
+        while let Some(body) = recv_while_open(&mut rest, &tx).await {
             note(&events, &body, &id, start);
             let whole = matches!(body, Body::End(_));
             let (piece, last) = sse(body, &id);
@@ -229,7 +229,7 @@
     let (tx, rx) = mpsc::channel(CHANNEL);
     let mut rest = started.rest;
     compio::runtime::spawn(async move {
-        while let Some(body) = next_wanted(&mut rest, &tx).await {
+        while let Some(body) = recv_while_open(&mut rest, &tx).await {
             note(&events, &body, &id, start);
             let piece = match body {
                 Body::Chunk(data) => Ok(data.into()),
--- a/src/serve/callers/refusal.rs
+++ b/src/serve/callers/refusal.rs
@@ -4,13 +4,13 @@
 
 use crate::decide::refusal::Cause;
 use crate::front::body::Answer;
-use crate::front::refusal::{Words, status};
+use crate::front::refusal::{ErrorBody, status};
 use crate::schema::peer;
 
 const SECOND_MS: u64 = 1_000;
 
-fn words<'a>(refused: &'a peer::Refusal, request_id: &'a str) -> Words<'a> {
-    Words {
+fn words<'a>(refused: &'a peer::Refusal, request_id: &'a str) -> ErrorBody<'a> {
+    ErrorBody {
         cause: &refused.cause,
         run_state: &refused.run_state,
         retry_after_ms: refused.retry_after_ms,
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -12,7 +12,7 @@
 use crate::decide::refusal::{Cause, Refusal};
 use crate::decide::{ChatKey, Cost, Job, JobId, Name};
 use crate::event::Kind;
-use crate::front::body::next_wanted;
+use crate::front::body::recv_while_open;
 use crate::peers::{Frames, PeerClient, refuse};
 use crate::schema::config::Upstream;
 use crate::schema::peer;
@@ -226,7 +226,7 @@
         mut frames: Frames,
         tx: &mpsc::Sender<Body>,
     ) -> Ended {
-        while let Some(mut body) = next_wanted(&mut frames, tx).await {
+        while let Some(mut body) = recv_while_open(&mut frames, tx).await {
             let ended = match &mut body {
                 Body::Head(head) => {
                     head.load = self.homes.load(&forward.upstream);
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::event::Events;
 use crate::fleet::homes;
-use crate::front::body::{Answer, next_wanted};
+use crate::front::body::{Answer, recv_while_open};
 use crate::peers::frames::{self, Decoder};
 use crate::peers::server::{self, PeerHandler, reply, status};
 use crate::peers::{CHANNEL, CONFIG, CONVICTED, DEMAND, FORWARD, Frames, MEMBERS, WARM, refuse};
@@ -106,7 +106,7 @@
 fn encode_all(request_id: String, mut frames: Frames, events: Events) -> Answer {
     let (tx, rx) = mpsc::channel(CHANNEL);
     compio::runtime::spawn(async move {
-        while let Some(body) = next_wanted(&mut frames, &tx).await {
+        while let Some(body) = recv_while_open(&mut frames, &tx).await {
             let chunk = matches!(body, Body::Chunk(_));
             let frame = Frame {
                 request_id: request_id.clone(),
--- a/src/serve/route/resume.rs
+++ b/src/serve/route/resume.rs
@@ -14,7 +14,7 @@
 
 use crate::decide::refusal::RunState;
 use crate::event::Kind;
-use crate::front::body::next_wanted;
+use crate::front::body::recv_while_open;
 use crate::peers::{Frames, refuse};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{End, Forward, Refusal};
@@ -201,7 +201,7 @@
     /// The next frame, or nothing once the caller went or the home was given up: a home that is
     /// frozen keeps its connections, and would be waited for until the caller's deadline.
     async fn next(&self, frames: &mut Frames) -> Option<Body> {
-        let next = next_wanted(frames, &self.tx);
+        let next = recv_while_open(frames, &self.tx);
         let dead = self.ctx.host_dead(&self.home);
         pin_mut!(next, dead);
         match select(next, dead).await {
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -38,7 +38,7 @@
     compio::time::sleep(Duration::from_millis(old_ms)).await;
     enter(ctx, Phase::Refusing);
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
-    let cut = ctx.drain.ended(limit).await;
+    let cut = ctx.drain.wait_until_idle(limit).await;
     let (done, told) = oneshot::channel();
     ctx.gossip.send(GossipCommand::Finish(done));
     let _ = compio::time::timeout(GOODBYE, told).await;
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,7 +1,7 @@
-//! The metrics of a router, one function for each thing that is counted.
+//! Metrics of a router, with one function for each event that is counted.
 //!
-//! Labels hold only names from the configuration and from enums, so that no caller can make the
-//! page grow.
+//! Label values come only from the configuration and from enums, so that callers can't increase the
+//! number of time series.
 
 use std::time::{Duration, Instant};
 
@@ -12,17 +12,17 @@
 
 const REQUESTS: &str = "cassiagrade_requests_total";
 const IN_FLIGHT: &str = "cassiagrade_requests_in_flight";
-const TOOK_MS: &str = "cassiagrade_request_ms";
+const REQUEST_MS: &str = "cassiagrade_request_ms";
 const FIRST_BYTE_MS: &str = "cassiagrade_first_byte_ms";
 const REFUSALS: &str = "cassiagrade_refusals_total";
 const CONNECTIONS: &str = "cassiagrade_caller_connections";
 const CALLERS_CUT: &str = "cassiagrade_callers_cut_total";
 const QUEUE_WAIT_MS: &str = "cassiagrade_queue_wait_ms";
-const HELD_FOR_LOAD: &str = "cassiagrade_requests_held_for_load_total";
+const DELAYED_BY_LOAD: &str = "cassiagrade_requests_held_for_load_total";
 const HOPS: &str = "cassiagrade_hops_total";
 const CONTROL_BYTES: &str = "cassiagrade_control_bytes_total";
 const CONTROL_MESSAGES: &str = "cassiagrade_control_messages_total";
-const STRANGERS: &str = "cassiagrade_strange_datagrams_total";
+const UNAUTHENTICATED_DATAGRAMS: &str = "cassiagrade_strange_datagrams_total";
 const MEMBER_CHANGES: &str = "cassiagrade_member_changes_total";
 const SECOND_HOPS_AVOIDED: &str = "cassiagrade_second_hops_avoided_total";
 const HOME_REFUSED: &str = "cassiagrade_home_refused_total";
@@ -34,39 +34,39 @@
 const LOG_READ_LAG: &str = "cassiagrade_log_read_lag_records";
 const UPSTREAMS_KNOWN: &str = "cassiagrade_upstreams_known";
 
-/// Upper bounds of the buckets of every `_ms` histogram.
+/// Upper bucket bounds of all `_ms` histograms.
 pub(crate) const BUCKETS_MS: [f64; 15] = [
     0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0, 1_000.0, 5_000.0, 30_000.0,
     120_000.0,
 ];
 
-/// Histograms of milliseconds without labels.
+/// Histograms in milliseconds without labels.
 pub(crate) const HISTOGRAMS_MS: [&str; 2] = [QUEUE_WAIT_MS, LOG_APPEND_MS];
-/// Histograms of milliseconds by service.
-pub(crate) const HISTOGRAMS_BY_SERVICE_MS: [&str; 2] = [TOOK_MS, FIRST_BYTE_MS];
+/// Histograms in milliseconds with a `service` label.
+pub(crate) const HISTOGRAMS_BY_SERVICE_MS: [&str; 2] = [REQUEST_MS, FIRST_BYTE_MS];
 
-/// The service of a request that was refused before one was known.
+/// `service` label of requests refused before their service was determined.
 const NO_SERVICE: &str = "none";
 
-/// How a request ended for its caller.
+/// Outcome of a request as seen by its caller.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Outcome {
-    /// The whole answer left.
+    /// The complete answer was sent.
     Answered,
-    /// A typed refusal left.
+    /// A typed refusal was sent.
     Refused,
-    /// The answer broke off after its first byte.
+    /// The answer ended early, after its first byte.
     Cut,
-    /// The caller went before the end.
+    /// The caller disconnected before the end of the answer.
     CallerGone,
 }
 
-/// Puts help texts on the metrics page.
+/// Registers the help texts of all metrics.
 pub(crate) fn describe() {
     describe_counter!(REQUESTS, "Callers' requests by service and outcome");
     describe_gauge!(IN_FLIGHT, "Callers' requests being served");
-    describe_histogram!(TOOK_MS, "Whole time of a request in milliseconds");
+    describe_histogram!(REQUEST_MS, "Whole time of a request in milliseconds");
     describe_histogram!(FIRST_BYTE_MS, "Time to the first byte in milliseconds");
     describe_counter!(REFUSALS, "Refusals by cause");
     describe_gauge!(CONNECTIONS, "Callers' connections open");
@@ -76,7 +76,7 @@
         "Wait for a place at the home, or at the router that sends itself, in milliseconds"
     );
     describe_counter!(
-        HELD_FOR_LOAD,
+        DELAYED_BY_LOAD,
         "Requests that waited for this router's first load of configuration and upstreams"
     );
     describe_counter!(HOPS, "Requests passed on to another router");
@@ -89,7 +89,7 @@
         "Control messages sent and received, by kind"
     );
     describe_counter!(
-        STRANGERS,
+        UNAUTHENTICATED_DATAGRAMS,
         "Datagrams refused: not made with the fleet's key"
     );
     describe_counter!(MEMBER_CHANGES, "Changes of what is believed of a router");
@@ -129,49 +129,49 @@
     took.as_secs_f64() * 1_000.0
 }
 
-/// Sets how many upstreams this router knows of.
+/// Sets the number of upstreams known to this router.
 pub(crate) fn upstreams_known(count: usize) {
     gauge!(UPSTREAMS_KNOWN).set(count as f64);
 }
 
-/// Counts a refusal given to a caller.
+/// Counts a refusal sent to a caller.
 pub(crate) fn refused(cause: &str) {
     counter!(REFUSALS, "cause" => cause.to_owned()).increment(1);
 }
 
-/// Counts a caller's connection as open.
+/// Counts a caller's connection that was opened.
 pub(crate) fn connection_opened() {
     gauge!(CONNECTIONS).increment(1.0);
 }
 
-/// Counts a caller's connection as ended.
+/// Counts a caller's connection that was closed.
 pub(crate) fn connection_ended() {
     gauge!(CONNECTIONS).decrement(1.0);
 }
 
-/// Counts a caller that was cut because it stopped reading.
+/// Counts a caller's connection that was cut because the caller stalled.
 pub(crate) fn caller_cut() {
     counter!(CALLERS_CUT).increment(1);
 }
 
-/// Records how long a request waited at its home.
+/// Records how long a request was queued at its home.
 pub(crate) fn queue_wait(took: Duration) {
     histogram!(QUEUE_WAIT_MS).record(as_ms(took));
 }
 
-/// Counts a request that waited for this router's first load.
+/// Counts a request that waited for this router to load the configuration and upstreams.
 pub(crate) fn held_for_load() {
-    counter!(HELD_FOR_LOAD).increment(1);
+    counter!(DELAYED_BY_LOAD).increment(1);
 }
 
-/// Counts a prompt's tokens, and how many of them the engine had cached.
+/// Counts the tokens of a prompt by whether the engine had them cached.
 pub(crate) fn prompt(tokens: u64, cached: u64) {
     let cached = cached.min(tokens);
     counter!(PROMPT_TOKENS, "cached" => "yes").increment(cached);
     counter!(PROMPT_TOKENS, "cached" => "no").increment(tokens - cached);
 }
 
-/// Sets what an upstream at home here holds.
+/// Sets the load of an upstream that has its home at this router.
 pub(crate) fn upstream(load: &Load) {
     let name = load.upstream.clone();
     gauge!(UPSTREAM_WORK_MS, "upstream" => name.clone()).set(load.work_ms);
@@ -179,54 +179,54 @@
     gauge!(UPSTREAM_QUEUED, "upstream" => name).set(load.queued);
 }
 
-/// Counts a request passed on to its home.
+/// Counts a request forwarded to its home.
 pub(crate) fn hop() {
     counter!(HOPS).increment(1);
 }
 
-/// Counts one control message of `kind` and its `bytes`, "sent" or "received".
+/// Counts one control message of `kind` and its size; `way` is "sent" or "received".
 pub(crate) fn control_bytes(way: &'static str, kind: &'static str, bytes: usize) {
     counter!(CONTROL_BYTES, "way" => way, "kind" => kind).increment(bytes as u64);
     counter!(CONTROL_MESSAGES, "way" => way, "kind" => kind).increment(1);
 }
 
-/// Counts a datagram that no router of the fleet made.
-pub(crate) fn stranger() {
-    counter!(STRANGERS).increment(1);
+/// Counts a datagram that wasn't authenticated with the fleet key.
+pub(crate) fn unauthenticated_datagram() {
+    counter!(UNAUTHENTICATED_DATAGRAMS).increment(1);
 }
 
-/// Counts a change of what is believed of a router.
+/// Counts a change of a router's membership state.
 pub(crate) fn member_changed(state: &'static str) {
     counter!(MEMBER_CHANGES, "state" => state).increment(1);
 }
 
-/// Counts a forwarded request for whose upstream another router is home by this one's view.
+/// Counts a forwarded request whose upstream has its home at another router in this router's view.
 pub(crate) fn second_hop_avoided() {
     counter!(SECOND_HOPS_AVOIDED).increment(1);
 }
 
-/// Counts a request that came to a router which may not take it: it stops, or it slept.
+/// Counts a request refused because this router is stopping or was suspended.
 pub(crate) fn home_refused(why: &'static str) {
     counter!(HOME_REFUSED, "why" => why).increment(1);
 }
 
-/// Records how long an append to the platform's log took.
+/// Records the duration of an append to the platform's log.
 pub(crate) fn log_append(took: Duration) {
     histogram!(LOG_APPEND_MS).record(as_ms(took));
 }
 
-/// Sets how many records of `stream` stood unread when the last read began.
+/// Sets the number of unread records of `stream` at the start of the last read.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(crate) fn log_read_lag(stream: &str, records: u64) {
     gauge!(LOG_READ_LAG, "stream" => stream.to_owned()).set(records as f64);
 }
 
-/// Counts one request; what is dropped without an outcome lost its caller.
+/// Metrics of one request, recorded on drop. Without an outcome, its caller disconnected.
 pub(crate) struct Tally {
     service: String,
     started: Instant,
     outcome: Outcome,
-    live: bool,
+    active: bool,
 }
 
 impl Tally {
@@ -236,7 +236,7 @@
             service: NO_SERVICE.to_owned(),
             started: Instant::now(),
             outcome: Outcome::CallerGone,
-            live: true,
+            active: true,
         }
     }
 
@@ -250,7 +250,7 @@
         histogram!(FIRST_BYTE_MS, "service" => service).record(took);
     }
 
-    /// The answer reached its end mark, or broke off before.
+    /// Sets the outcome; `whole` is whether the answer was complete.
     pub(crate) fn ended(&mut self, whole: bool) {
         self.outcome = if whole {
             Outcome::Answered
@@ -263,28 +263,28 @@
         self.outcome = Outcome::Refused;
     }
 
-    /// Hands the tally on to the task that passes the answer on.
+    /// Moves the tally out, for the task that streams the answer.
     pub(crate) fn take(&mut self) -> Self {
-        let live = std::mem::replace(&mut self.live, false);
+        let active = std::mem::replace(&mut self.active, false);
         Self {
             service: std::mem::take(&mut self.service),
             started: self.started,
             outcome: self.outcome,
-            live,
+            active,
         }
     }
 }
 
 impl Drop for Tally {
     fn drop(&mut self) {
-        if !self.live {
+        if !self.active {
             return;
         }
         gauge!(IN_FLIGHT).decrement(1.0);
         let service = std::mem::take(&mut self.service);
         let outcome: &'static str = self.outcome.into();
         let took = as_ms(self.started.elapsed());
-        histogram!(TOOK_MS, "service" => service.clone()).record(took);
+        histogram!(REQUEST_MS, "service" => service.clone()).record(took);
         counter!(REQUESTS, "service" => service, "outcome" => outcome).increment(1);
     }
 }
--- a/src/stats_tests.rs
+++ b/src/stats_tests.rs
@@ -2,9 +2,9 @@
 const OPERATIONS: &str = include_str!("../docs/OPERATIONS.md");
 const PREFIX: &str = "\"cassiagrade_";
 
-/// Operators can't act on a figure whose meaning nobody told them.
+/// Guards against metrics without a help text or an entry in the operators' documentation.
 #[test]
-fn every_metric_is_described_and_in_the_operators_page() {
+fn every_metric_is_described_and_documented() {
     let names: Vec<&str> = STATS
         .split(PREFIX)
         .skip(1)
--- a/src/stdout_writer.rs
+++ b/src/stdout_writer.rs
@@ -1,8 +1,8 @@
-//! Standard output for logs and events: lines wait in memory, and nobody waits for a reader.
+//! Non-blocking writer for logs and events: buffers lines and writes them in a separate thread.
 //!
-//! Failure guarded against: whoever reads the log falls behind, the pipe fills, and a router that
-//! writes into it stops serving. Lines that find no room are dropped and counted; the count is the
-//! next line that goes out.
+//! Failure guarded against: the reader of standard output falls behind, the pipe fills, and a
+//! blocking write stops the router. When the buffer is full, lines are dropped and counted, and the
+//! count is logged with the next write.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -11,14 +11,14 @@
 use metrics::counter;
 use serde_json::json;
 
-/// Bytes that may wait; some seconds of the heaviest logging.
-const MAX_WAITING_BYTES: usize = 256 << 10;
-/// Lines are gathered for this long and written together: each write is a system call, and a killed
-/// process loses no more than this.
-const GATHER: Duration = Duration::from_millis(20);
+/// Size limit of the buffer, enough for some seconds at the highest logging rate.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Lines are written in batches at this interval, to save system calls. A killed process loses at
+/// most the lines of one interval.
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     dropped: u64,
     is_writing: bool,
@@ -26,16 +26,16 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    buffer: Mutex<Buffer>,
     changed: Condvar,
 }
 
-/// A handle to the lines that wait; writing to it never blocks and never fails.
+/// Handle to the line buffer; writing to it never blocks and never fails.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StdoutWriter(Arc<Shared>);
 
 impl StdoutWriter {
-    /// Starts the thread that writes to standard output.
+    /// Starts the thread that writes the buffer to standard output.
     pub(crate) fn spawn() -> Self {
         let writer = Self::default();
         let shared = writer.0.clone();
@@ -43,32 +43,32 @@
         writer
     }
 
-    /// Waits until what was written before has left, at most `limit`.
+    /// Waits until all buffered lines are written, for at most `limit`.
     pub(crate) fn flush_within(&self, limit: Duration) {
-        let waiting = self.lock();
-        let is_left = |w: &mut Waiting| !w.bytes.is_empty() || w.is_writing;
-        // A reader that is behind by more loses the rest.
-        let _ = self.0.changed.wait_timeout_while(waiting, limit, is_left);
+        let buffer = self.lock();
+        let is_pending = |w: &mut Buffer| !w.bytes.is_empty() || w.is_writing;
+        // After `limit`, the remaining lines are lost.
+        let _ = self.0.changed.wait_timeout_while(buffer, limit, is_pending);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        let waiting = self.0.waiting.lock();
-        waiting.unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        let buffer = self.0.buffer.lock();
+        buffer.unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Write for StdoutWriter {
-    /// Takes a whole line.
+    /// Buffers `line`, which must be a whole line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > MAX_WAITING_BYTES {
-            waiting.dropped += 1;
+        let mut buffer = self.lock();
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
             counter!("cassiagrade_log_lines_dropped_total").increment(1);
             return Ok(line.len());
         }
-        let was_empty = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
+        let was_empty = buffer.bytes.is_empty();
+        buffer.bytes.extend_from_slice(line);
+        drop(buffer);
         if was_empty {
             self.0.changed.notify_all();
         }
@@ -81,24 +81,19 @@
 }
 
 fn write_out(shared: &Shared) {
-    let lock = || {
-        shared
-            .waiting
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-    };
+    let lock = || shared.buffer.lock().unwrap_or_else(PoisonError::into_inner);
     let mut out = io::stdout();
     loop {
-        let waiting = shared.changed.wait_while(lock(), |w| w.bytes.is_empty());
-        drop(waiting.unwrap_or_else(PoisonError::into_inner));
-        std::thread::sleep(GATHER);
+        let buffer = shared.changed.wait_while(lock(), |w| w.bytes.is_empty());
+        drop(buffer.unwrap_or_else(PoisonError::into_inner));
+        std::thread::sleep(WRITE_INTERVAL);
         let (bytes, dropped) = {
-            let mut waiting = lock();
-            waiting.is_writing = true;
-            let dropped = std::mem::take(&mut waiting.dropped);
-            (std::mem::take(&mut waiting.bytes), dropped)
+            let mut buffer = lock();
+            buffer.is_writing = true;
+            let dropped = std::mem::take(&mut buffer.dropped);
+            (std::mem::take(&mut buffer.bytes), dropped)
         };
-        // A closed pipe has no reader to tell.
+        // If the pipe is closed, there is nowhere to report the error.
         let _ = out.write_all(&bytes);
         if dropped > 0 {
             let line = json!({ "level": "WARN", "message": "log lines dropped", "lines": dropped });
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers that several modules share.
+//! Helpers shared by several modules.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,22 +9,22 @@
 /// A shared immutable name.
 pub type Name = Arc<str>;
 
-/// Milliseconds since the Unix epoch, by the host's clock.
+/// Returns milliseconds since the Unix epoch by the host's clock.
 pub(crate) fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// A duration in whole microseconds.
+/// Converts a duration to whole microseconds.
 pub(crate) fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A clock that starts at one when the process starts, never steps, and goes on while the host is
+/// A monotonic clock that starts at 1 ms at process start and includes the time the host is
 /// suspended.
 ///
-/// Failure guarded against: a host stands still for seconds and wakes. By a clock that stood still
-/// too, what it knew before is as fresh as ever, and requests are handled as they were allowed then.
+/// Failure guarded against: a host resumes after a suspend of seconds. By a clock that was suspended
+/// too, state from before would still count as fresh and be used for requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     source: Source,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A clock that shows what a test sets.
+    /// Creates a clock that returns the value a test sets.
     #[cfg(test)]
     pub(crate) fn set_by(now_ms: &'static std::sync::atomic::AtomicU64) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Milliseconds on this clock; never zero, so that zero can mean "never".
+    /// Returns the time in milliseconds; never zero, so that zero can mean "never".
     pub(crate) fn now_ms(&self) -> u64 {
         match self.source {
             Source::SinceBoot { start } => {
@@ -74,7 +74,7 @@
         Ok(time) => time.into(),
         Err(e) => {
             // Linux has had this clock since 2.6.39.
-            log::error!("no clock since boot: {e}");
+            log::error!("cannot read CLOCK_BOOTTIME, using zero: {e}");
             Duration::ZERO
         }
     }
@@ -87,12 +87,11 @@
         .fold(0, |seed, part| xxh3_64_with_seed(part.as_bytes(), seed))
 }
 
-/// Hashes bytes.
 pub(crate) fn hash_bytes(bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, 0)
 }
 
-/// Mixes two hashes into one: the finaliser of SplitMix64 over their sum.
+/// Combines two hashes with the SplitMix64 finaliser.
 pub(crate) fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
