--- a/src/path/log_replica/sync.rs
+++ b/src/path/log_replica/sync.rs
@@ -1,4 +1,4 @@
-//! What routers tell one another of the log, and what one makes of it.
+//! Exchange of log state between routers.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -12,13 +12,13 @@
 use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest, UpstreamChange};
 use crate::util::Name;
 
-/// The age of upstreams that the giver knows more of than it tells.
-const UNTOLD_MS: u32 = u32::MAX;
-/// The age of what the giver doesn't know at all: older than any clock, so that it confirms nothing.
+/// Age sent for the upstreams if the sender has newer ones that it does not send.
+const NOT_SENT_MS: u32 = u32::MAX;
+/// Age of state that the sender does not have: older than any clock, so that it confirms nothing.
 const UNKNOWN_MS: u32 = u32::MAX - 1;
 
 impl<D: Records> LogReplica<D> {
-    /// How much is known here.
+    /// Returns the versions, offsets and ages of the state of this router.
     pub(crate) fn position(&self) -> LogPosition {
         let now_ms = self.clock.now_ms();
         let age = |fresh: &Cell<Freshness>| age_ms(fresh.get(), now_ms);
@@ -31,112 +31,115 @@
         }
     }
 
-    /// Whether a router with this mark knows more.
-    pub(crate) fn is_behind(&self, mark: &LogPosition) -> bool {
-        mark.config_version > self.state.deployment().version
-            || mark.upstreams_at > self.upstreams_at.get()
-            || mark.orders_at > self.orders_at()
+    /// Whether a router that published `position` has newer state.
+    pub(crate) fn is_behind(&self, position: &LogPosition) -> bool {
+        position.config_version > self.state.deployment().version
+            || position.upstreams_at > self.upstreams_at.get()
+            || position.orders_at > self.orders_at()
     }
 
-    /// Another router's mark, as it came in passing.
-    pub(crate) fn heard(&self, mark: &LogPosition) {
+    /// Handles the state that another router published by gossip.
+    pub(crate) fn receive_position(&self, position: &LogPosition) {
         if !self.needs_refresh() {
-            self.confirm(mark, self.clock.now_ms());
+            self.confirm(position, self.clock.now_ms());
         }
     }
 
-    /// What another router knew at `told_ms`: if that is no more than is known here, what it confirmed
-    /// holds here too.
-    fn confirm(&self, mark: &LogPosition, told_ms: u64) {
-        let at = |age_ms: u32| told_ms.saturating_sub(age_ms.into());
-        let has_orders = mark.orders_at == self.orders_at();
-        if has_orders && mark.config_version == self.state.deployment().version {
-            self.confirm_config(at(mark.config_age_ms));
+    /// Confirms the state of this router by that of another one at `as_of_ms`, as far as the other
+    /// has nothing newer.
+    fn confirm(&self, position: &LogPosition, as_of_ms: u64) {
+        let at = |age_ms: u32| as_of_ms.saturating_sub(age_ms.into());
+        let has_orders = position.orders_at == self.orders_at();
+        if has_orders && position.config_version == self.state.deployment().version {
+            self.confirm_config(at(position.config_age_ms));
         }
-        if mark.upstreams_at == self.upstreams_at.get() {
-            self.confirm_upstreams(at(mark.upstreams_age_ms));
+        if position.upstreams_at == self.upstreams_at.get() {
+            self.confirm_upstreams(at(position.upstreams_age_ms));
         }
     }
 
-    /// What an asker doesn't know yet.
-    pub(crate) fn give(&self, ask: &LogSyncRequest) -> LogSyncReply {
-        let has_newer = self.state.deployment().version > ask.config_version;
-        let missed = self.changes.borrow().since(ask.upstreams_at);
-        if missed.is_none() && !ask.takes_all {
-            return self.give_config_alone(ask, has_newer);
+    /// Returns the state that the requester lacks.
+    pub(crate) fn reply_to(&self, request: &LogSyncRequest) -> LogSyncReply {
+        let has_newer = self.state.deployment().version > request.config_version;
+        let missed = self.changes.borrow().since(request.upstreams_at);
+        if missed.is_none() && !request.takes_all {
+            return self.reply_config_only(request, has_newer);
         }
-        let mut give = LogSyncReply {
-            config: self.packed_config(has_newer),
+        let mut reply = LogSyncReply {
+            config: self.compressed_config(has_newer),
             mark: Some(self.position()),
-            evacuated: self.evacuated(ask),
+            evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         };
         let Some(changes) = missed else {
-            give.all_upstreams = self.packed_upstreams();
-            if give.all_upstreams.is_empty() {
-                return self.give_config_alone(ask, has_newer);
+            reply.all_upstreams = self.compressed_upstreams();
+            if reply.all_upstreams.is_empty() {
+                return self.reply_config_only(request, has_newer);
             }
-            return give;
+            return reply;
         };
         if !changes.is_empty() {
-            give.changes = pack(&changes);
-            if give.changes.is_empty() {
-                return self.give_config_alone(ask, has_newer);
+            reply.changes = compress(&changes);
+            if reply.changes.is_empty() {
+                return self.reply_config_only(request, has_newer);
             }
         }
-        give
+        reply
     }
 
-    /// What an asker gets that must read the upstreams from the log: as far as this answer says, nothing came since.
+    /// Returns the answer for a requester that must read the upstreams from the log. It reports no
+    /// newer upstreams.
     ///
-    /// Failure guarded against: hundreds of routers start at once while upstreams come and go. Each keeps the changes since
-    /// its own read alone, so those that read earlier would be given all upstreams again and again by those that read
-    /// later, over links that callers need. The log gives them the few changes that they miss.
-    fn give_config_alone(&self, ask: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
-        let mark = LogPosition {
-            upstreams_at: ask.upstreams_at,
-            upstreams_age_ms: UNTOLD_MS,
+    /// Failure guarded against: hundreds of routers start at once while upstreams come and go. Each
+    /// keeps only the changes since its own read, so those that read earlier would be sent all
+    /// upstreams again and again by those that read later, over links that callers need. The log
+    /// sends them the few changes that they lack.
+    fn reply_config_only(&self, request: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
+        let position = LogPosition {
+            upstreams_at: request.upstreams_at,
+            upstreams_age_ms: NOT_SENT_MS,
             ..self.position()
         };
         LogSyncReply {
-            config: self.packed_config(has_newer),
-            mark: Some(mark),
-            evacuated: self.evacuated(ask),
+            config: self.compressed_config(has_newer),
+            mark: Some(position),
+            evacuated: self.evacuated(request),
             ..LogSyncReply::default()
         }
     }
 
-    fn packed_config(&self, is_wanted: bool) -> Vec<u8> {
+    fn compressed_config(&self, is_wanted: bool) -> Vec<u8> {
         if is_wanted {
-            self.packed_config.borrow().to_vec()
+            self.compressed_config.borrow().to_vec()
         } else {
             Vec::new()
         }
     }
 
-    fn evacuated(&self, ask: &LogSyncRequest) -> Vec<String> {
+    fn evacuated(&self, request: &LogSyncRequest) -> Vec<String> {
         let evacuations = self.state.evacuations();
-        if evacuations.at() <= ask.orders_at {
+        if evacuations.offset() <= request.orders_at {
             return Vec::new();
         }
         evacuations.names().map(ToString::to_string).collect()
     }
 
-    /// All upstreams, packed once for all that ask at the same offset.
+    /// All upstreams, compressed once for all requests at the same offset.
     ///
-    /// Failure guarded against: thousands of records take hundreds of kilobytes. A fleet that starts at once hands them from
-    /// router to router over thin links, and callers wait for those links.
-    fn packed_upstreams(&self) -> Vec<u8> {
+    /// Failure guarded against: thousands of records take hundreds of kilobytes. A fleet that
+    /// starts at once sends them from router to router over slow links, and delays the requests of
+    /// callers on those links.
+    fn compressed_upstreams(&self) -> Vec<u8> {
         let at = self.upstreams_at.get();
-        let mut packed = self.packed_upstreams.borrow_mut();
-        if packed.at != at {
-            packed.bytes = self.pack_upstreams().into();
-            packed.at = at;
+        let mut compressed = self.compressed_upstreams.borrow_mut();
+        if compressed.at != at {
+            compressed.bytes = self.compress_upstreams().into();
+            compressed.at = at;
         }
-        packed.bytes.to_vec()
+        compressed.bytes.to_vec()
     }
 
-    fn pack_upstreams(&self) -> Vec<u8> {
+    fn compress_upstreams(&self) -> Vec<u8> {
         let upstreams = self.upstreams.borrow();
         let change = |(id, record): (&Name, &Bytes)| UpstreamChange {
             at: self.upstreams_at.get(),
@@ -144,70 +147,70 @@
             record: record.to_vec(),
         };
         let all: Vec<UpstreamChange> = upstreams.iter().map(change).collect();
-        pack(&all)
+        compress(&all)
     }
 
-    /// Takes what another router gave when it was asked at `asked_ms`.
-    pub(crate) fn take(&self, give: LogSyncReply, source: &str, asked_ms: u64) {
-        self.look();
-        let mark = give.mark.unwrap_or_default();
-        if !give.config.is_empty() {
-            self.configure_packed(&give.config, source);
+    /// Applies the answer of another router to a request sent at `asked_ms`.
+    pub(crate) fn apply_reply(&self, reply: LogSyncReply, source: &str, asked_ms: u64) {
+        self.check_clock();
+        let position = reply.mark.unwrap_or_default();
+        if !reply.config.is_empty() {
+            self.configure_compressed(&reply.config, source);
         }
-        if mark.orders_at > self.orders_at() {
-            let evacuated = give.evacuated.iter().map(|name| name.as_str().into());
-            self.take_evacuated(mark.orders_at, evacuated.collect(), source);
+        if position.orders_at > self.orders_at() {
+            let evacuated = reply.evacuated.iter().map(|name| name.as_str().into());
+            self.replace_evacuated(position.orders_at, evacuated.collect(), source);
         }
-        if mark.upstreams_at > self.upstreams_at.get() {
-            if !self.take_upstreams(give, mark.upstreams_at, source) {
+        if position.upstreams_at > self.upstreams_at.get() {
+            if !self.apply_upstreams(reply, position.upstreams_at, source) {
                 return;
             }
-        } else if mark.upstreams_age_ms == UNTOLD_MS {
-            self.read_anew();
+        } else if position.upstreams_age_ms == NOT_SENT_MS {
+            self.request_read();
         }
-        self.confirm(&mark, asked_ms);
-        self.suspend.told_anew(asked_ms);
+        self.confirm(&position, asked_ms);
+        self.suspend.record_refresh(asked_ms);
     }
 
-    /// Tells whether what was given could be read.
-    fn take_upstreams(&self, give: LogSyncReply, at: u64, source: &str) -> bool {
-        let is_all = !give.all_upstreams.is_empty();
-        let packed = if is_all {
-            &give.all_upstreams
+    /// Applies the upstreams of an answer, and returns whether they could be decoded.
+    fn apply_upstreams(&self, reply: LogSyncReply, at: u64, source: &str) -> bool {
+        let is_all = !reply.all_upstreams.is_empty();
+        let compressed = if is_all {
+            &reply.all_upstreams
         } else {
-            &give.changes
+            &reply.changes
         };
-        let changes = match unpack(packed) {
+        let changes = match decompress(compressed) {
             Ok(changes) => changes,
             Err(e) => {
-                log::error!("upstreams from {source} can't be unpacked: {e}");
+                log::error!("upstreams from {source} can't be decompressed and are ignored: {e}");
                 return false;
             }
         };
-        self.returned();
+        self.end_silence();
         if is_all {
-            self.take_all(changes, at, source);
+            self.apply_all(changes, at, source);
         } else {
-            self.take_changes(changes);
+            self.apply_changes(changes);
             self.upstreams_at.set(at);
         }
         true
     }
 
-    fn take_all(&self, all: Vec<UpstreamChange>, at: u64, source: &str) {
+    fn apply_all(&self, all: Vec<UpstreamChange>, at: u64, source: &str) {
         self.is_bulk.set(true);
         self.start_at(at);
-        let there: HashSet<&str> = all.iter().map(|u| u.id.as_str()).collect();
+        let listed: HashSet<&str> = all.iter().map(|u| u.id.as_str()).collect();
         let known: Vec<Name> = self.upstreams.borrow().keys().cloned().collect();
-        for id in known.iter().filter(|id| !there.contains(&***id)) {
+        for id in known.iter().filter(|id| !listed.contains(&***id)) {
             self.remove(at, id);
         }
-        self.take_changes(all);
+        self.apply_changes(all);
         self.upstreams_at.set(at);
-        self.took_all(source);
+        self.finish_bulk_update(source);
     }
 
-    fn take_changes(&self, changes: Vec<UpstreamChange>) {
+    fn apply_changes(&self, changes: Vec<UpstreamChange>) {
         for change in changes {
             if change.record.is_empty() {
                 self.remove(change.at, &change.id);
@@ -218,7 +221,6 @@
     }
 }
 
-/// Upstreams as they go between routers; nothing if they can't be packed, which is logged.
 fn age_ms(fresh: Freshness, now_ms: u64) -> u32 {
     if fresh.confirmed_ms() == 0 {
         return UNKNOWN_MS;
@@ -226,20 +228,25 @@
     u32::try_from(fresh.age_ms(now_ms)).map_or(UNKNOWN_MS, |ms| ms.min(UNKNOWN_MS))
 }
 
-fn pack(changes: &Vec<UpstreamChange>) -> Vec<u8> {
+/// Compresses upstreams for another router. A failure is logged, and the result is empty.
+fn compress(changes: &Vec<UpstreamChange>) -> Vec<u8> {
     let listed = frames::to_vec(changes).map_err(|e| e.to_string());
-    let packed =
+    let compressed =
         listed.and_then(|listed| compression::compress(&listed).map_err(|e| e.to_string()));
-    packed
-        .inspect_err(|e| log::error!("upstreams can't be told: {e}"))
+    compressed
+        .inspect_err(|e| {
+            log::error!(
+                "upstreams can't be compressed for peers, which get none from this router: {e}"
+            )
+        })
         .unwrap_or_default()
         .to_vec()
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
-    if packed.is_empty() {
+fn decompress(compressed: &[u8]) -> Result<Vec<UpstreamChange>, String> {
+    if compressed.is_empty() {
         return Ok(Vec::new());
     }
-    let listed = compression::decompress(packed).map_err(|e| e.to_string())?;
+    let listed = compression::decompress(compressed).map_err(|e| e.to_string())?;
     frames::from_slice(&listed).map_err(|e| e.to_string())
 }
--- a/src/path/news_world_tests.rs
+++ b/src/path/news_world_tests.rs
@@ -1,35 +1,37 @@
-//! A fleet of routers that believe and tell, the log that they read, and what must hold of both.
+//! Model of a fleet of routers that read a log and exchange state, and the invariants that must
+//! hold.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::path::cursor::{Order, Record, StreamCursor};
-use crate::path::news_fake_tests::{Answer, Entry, FakeStore, LAPSE_MS};
+use crate::path::news_fake_tests::{Answer, ENTRY_EXPIRY_MS, Entry, FakeStore};
 use crate::path::news_tests::Router;
 use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest};
 use crate::util::{Clock, Name};
 
 pub(super) const ROUTERS: usize = 4;
-/// Routers tell one another this often, and look at the clock.
+/// Interval at which routers publish their positions and check the clock.
 const TICK_MS: u64 = 200;
-/// Who stands still for longer than this notices. What was told during a shorter pause counts as up to
-/// that much fresher than it was.
-pub(super) const SLEPT_MS: u64 = 1_100;
-/// With the log back and nobody asleep, all know all after this many ticks.
-const HEAL_TICKS: u32 = 40;
+/// Duration of a suspension that routers detect. State received during a shorter pause counts as up
+/// to that much fresher than it was.
+pub(super) const SUSPENSION_MS: u64 = 1_100;
+/// After this many ticks with the log available and no router suspended, all routers have
+/// everything.
+const RECOVERY_TICKS: u32 = 40;
 
 pub(super) struct Host {
     router: Router,
     cursor: StreamCursor,
     order_cursor: StreamCursor,
-    /// The log's answers under way, and when they were asked for.
+    /// Pending answers of the log, with the times of their requests.
     orders: Option<(u64, Answer<Order>)>,
     upstreams: Option<(u64, Answer<Record>)>,
     peer: Option<(u64, LogSyncReply)>,
-    /// What others told while this one stands still.
-    marks: VecDeque<LogPosition>,
-    pub(super) shut: bool,
-    pub(super) sleeps_until_ms: u64,
+    /// Positions published by other routers while this one is suspended.
+    positions: VecDeque<LogPosition>,
+    pub(super) is_rejected: bool,
+    pub(super) suspended_until_ms: u64,
     started_ms: u64,
     version: u64,
 }
@@ -43,7 +45,7 @@
 
 impl World {
     pub(super) fn new() -> Self {
-        // One number a case: a clock that many routers share outlives them all.
+        // One number per case: a clock that many routers share must outlive them all.
         let now_ms: &'static AtomicU64 = Box::leak(Box::new(AtomicU64::new(10_000)));
         let hosts = (0..ROUTERS).map(|_| host(now_ms)).collect();
         Self {
@@ -58,127 +60,136 @@
         self.now_ms.load(Ordering::Relaxed)
     }
 
-    fn sleeps(&self, at: usize) -> bool {
-        self.hosts[at].sleeps_until_ms > self.now_ms()
+    fn is_suspended(&self, at: usize) -> bool {
+        self.hosts[at].suspended_until_ms > self.now_ms()
     }
 
-    fn reaches_store(&self, at: usize) -> bool {
-        self.store.is_up() && !self.hosts[at].shut && !self.sleeps(at)
+    fn can_reach_store(&self, at: usize) -> bool {
+        self.store.is_available() && !self.hosts[at].is_rejected && !self.is_suspended(at)
     }
 
-    pub(super) fn ask(&mut self, at: usize) {
-        if !self.reaches_store(at) {
+    pub(super) fn send_request(&mut self, at: usize) {
+        if !self.can_reach_store(at) {
             return;
         }
         let now_ms = self.now_ms();
         let host = &mut self.hosts[at];
         if host.orders.is_none() {
-            let ask = host.order_cursor.ask(host.router.replica.orders_at());
+            let ask = host.order_cursor.next_read(host.router.replica.orders_at());
             host.orders = Some((now_ms, self.store.answer_orders(ask)));
         }
         if host.upstreams.is_none() {
-            let ask = host.cursor.ask(host.router.replica.upstreams_at());
+            let ask = host.cursor.next_read(host.router.replica.upstreams_at());
             host.upstreams = Some((now_ms, self.store.answer(ask)));
         }
     }
 
     pub(super) fn answer(&mut self, at: usize) {
-        if self.sleeps(at) {
+        if self.is_suspended(at) {
             return;
         }
         let host = &mut self.hosts[at];
         match host.orders.take() {
             Some((asked_ms, Answer::All(orders, end))) => {
-                host.order_cursor.took_all(end);
-                host.router.replica.read_all_orders(orders, end, asked_ms);
+                host.order_cursor.reset_to(end);
+                host.router
+                    .replica
+                    .apply_order_snapshot(orders, end, asked_ms);
             }
             Some((asked_ms, Answer::Changes(from, orders))) => {
-                host.order_cursor.took(from, orders.len());
+                host.order_cursor.advance(from, orders.len());
                 let replica = &host.router.replica;
-                replica.read_orders(from, orders, asked_ms, asked_ms);
+                replica.apply_orders(from, orders, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.order_cursor.expired(),
+            Some((_, Answer::Expired)) => host.order_cursor.set_expired(),
             None => {}
         }
         match host.upstreams.take() {
             Some((asked_ms, Answer::All(records, end))) => {
-                host.cursor.took_all(end);
-                host.router.replica.read_all(records, end, asked_ms);
+                host.cursor.reset_to(end);
+                host.router.replica.apply_snapshot(records, end, asked_ms);
             }
             Some((asked_ms, Answer::Changes(from, records))) => {
-                host.cursor.took(from, records.len());
+                host.cursor.advance(from, records.len());
                 host.router
                     .replica
-                    .read_on(from, records, asked_ms, asked_ms);
+                    .apply_records(from, records, asked_ms, asked_ms);
             }
-            Some((_, Answer::Expired)) => host.cursor.expired(),
+            Some((_, Answer::Expired)) => host.cursor.set_expired(),
             None => {}
         }
     }
 
-    pub(super) fn ask_peer(&mut self, at: usize, peer: usize) {
-        if at == peer || self.sleeps(at) || self.sleeps(peer) || self.hosts[at].peer.is_some() {
+    pub(super) fn send_peer_request(&mut self, at: usize, peer: usize) {
+        if at == peer
+            || self.is_suspended(at)
+            || self.is_suspended(peer)
+            || self.hosts[at].peer.is_some()
+        {
             return;
         }
         let router = &self.hosts[at].router;
-        let ask = LogSyncRequest {
+        let request = LogSyncRequest {
             config_version: router.state.deployment().version,
             upstreams_at: router.replica.upstreams_at(),
             takes_all: true,
             orders_at: router.replica.orders_at(),
         };
-        let give = self.hosts[peer].router.replica.give(&ask);
-        self.hosts[at].peer = Some((self.now_ms(), give));
+        let reply = self.hosts[peer].router.replica.reply_to(&request);
+        self.hosts[at].peer = Some((self.now_ms(), reply));
     }
 
-    pub(super) fn peer_answers(&mut self, at: usize) {
-        if self.sleeps(at) {
+    pub(super) fn receive_peer_answer(&mut self, at: usize) {
+        if self.is_suspended(at) {
             return;
         }
         let host = &mut self.hosts[at];
-        if let Some((asked_ms, give)) = host.peer.take() {
-            host.router.replica.take(give, "a peer", asked_ms);
+        if let Some((asked_ms, reply)) = host.peer.take() {
+            host.router.replica.apply_reply(reply, "a peer", asked_ms);
         }
     }
 
-    /// One tick of a running fleet: every router tells how much it knows, the first ones read, the
-    /// others do when their news grow old.
+    /// One tick of a running fleet: every router publishes its position. The first routers read the
+    /// log, and the others do so when their state becomes stale.
     pub(super) fn tick(&mut self) {
         self.now_ms.fetch_add(TICK_MS, Ordering::Relaxed);
         let now_ms = self.now_ms();
         self.store.tick(now_ms);
-        let marks: Vec<Option<LogPosition>> = (0..ROUTERS)
-            .map(|at| (!self.sleeps(at)).then(|| self.hosts[at].router.replica.position()))
+        let positions: Vec<Option<LogPosition>> = (0..ROUTERS)
+            .map(|at| (!self.is_suspended(at)).then(|| self.hosts[at].router.replica.position()))
             .collect();
         for at in 0..ROUTERS {
-            let others = marks.iter().enumerate().filter(|(from, _)| *from != at);
-            let heard: Vec<(usize, LogPosition)> = others
-                .filter_map(|(from, mark)| Some((from, (*mark)?)))
+            let others = positions.iter().enumerate().filter(|(from, _)| *from != at);
+            let received: Vec<(usize, LogPosition)> = others
+                .filter_map(|(from, position)| Some((from, (*position)?)))
                 .collect();
             let host = &mut self.hosts[at];
-            host.marks.extend(heard.iter().map(|(_, mark)| *mark));
-            if self.sleeps(at) {
+            host.positions
+                .extend(received.iter().map(|(_, position)| *position));
+            if self.is_suspended(at) {
                 continue;
             }
             let host = &mut self.hosts[at];
-            for mark in std::mem::take(&mut host.marks) {
-                host.router.replica.heard(&mark);
+            for position in std::mem::take(&mut host.positions) {
+                host.router.replica.receive_position(&position);
             }
-            host.router.replica.look();
-            host.router.replica.settle();
+            host.router.replica.check_clock();
+            host.router.replica.remove_missing();
             let replica = &host.router.replica;
             let (schedules, now_ms) = (replica.schedules(), replica.now_ms());
             let config_is_stale = replica.config_fresh().is_stale(now_ms, schedules.config);
             let upstreams_fresh = replica.upstreams_fresh();
             let is_stale = config_is_stale || upstreams_fresh.is_stale(now_ms, schedules.upstreams);
-            let ahead = heard.iter().find(|(_, m)| host.router.replica.is_behind(m));
+            let ahead = received
+                .iter()
+                .find(|(_, m)| host.router.replica.is_behind(m));
             if let Some((peer, _)) = ahead {
-                self.ask_peer(at, *peer);
-                self.peer_answers(at);
+                self.send_peer_request(at, *peer);
+                self.receive_peer_answer(at);
             }
             if at < 2 || is_stale {
                 self.answer(at);
-                self.ask(at);
+                self.send_request(at);
             }
         }
     }
@@ -187,13 +198,13 @@
         for at in 0..ROUTERS {
             self.check_config(at);
             self.check_evacuations(at);
-            if !self.sleeps(at) {
+            if !self.is_suspended(at) {
                 self.check_upstreams(at);
             }
         }
     }
 
-    /// A version never goes back, and what was confirmed is all there was.
+    /// The version never decreases, and a confirmed one is the newest as of the confirmation.
     fn check_config(&mut self, at: usize) {
         let host = &mut self.hosts[at];
         let version = host.router.state.deployment().version;
@@ -211,13 +222,14 @@
         );
     }
 
-    /// What is evacuated is what operators wrote up to the offset that is told, and what was confirmed is all there was.
+    /// Evacuations match the records of operators up to the known offset, and confirmed ones are
+    /// complete as of the confirmation.
     fn check_evacuations(&self, at: usize) {
         let router = &self.hosts[at].router;
         let evacuated: BTreeSet<Name> = router.state.evacuations().names().cloned().collect();
         let end = usize::try_from(router.replica.orders_at()).unwrap();
         let written = self.store.evacuated(end);
-        assert_eq!(evacuated, written, "{at}: not the log's at {end}");
+        assert_eq!(evacuated, written, "{at}: differs from the log at {end}");
         let confirmed = self
             .store
             .orders_end_at(router.replica.config_confirmed_ms());
@@ -237,44 +249,46 @@
         assert_eq!(
             listed,
             self.store.entries(end),
-            "{at}: not the log's at {end}"
+            "{at}: differs from the log at {end}"
         );
         let confirmed = self.store.end_at(router.replica.upstreams_confirmed_ms());
         if confirmed > end {
             let then = self.store.entries(confirmed);
             assert_eq!(listed, then, "{at}: confirmed at {confirmed}, is at {end}");
         }
-        let invalidated = router.replica.doubted_ids();
-        let mut wanted: Vec<String> = listed.into_keys().chain(invalidated).collect();
+        let missing = router.replica.missing_ids();
+        let mut wanted: Vec<String> = listed.into_keys().chain(missing).collect();
         wanted.sort();
         let known = router.state.change_upstreams(|u| u.ids());
         let mut known: Vec<String> = known.iter().map(ToString::to_string).collect();
         known.sort();
-        assert_eq!(known, wanted, "{at}: neither listed nor in doubt");
+        assert_eq!(known, wanted, "{at}: neither listed nor missing");
     }
 
-    /// Upstreams whose entries lapsed with the log are not taken for gone before they can be back.
-    fn check_lapsed(&self, known: &[Vec<String>]) {
+    /// Upstreams whose entries expired with the log are not removed before they can write them
+    /// again.
+    fn check_expired(&self, known: &[Vec<String>]) {
         for (at, before) in known.iter().enumerate() {
-            let lapsed = self.store.lapsed();
-            let mut lost = before.iter().filter(|id| lapsed.contains(id.as_str()));
-            let knows = |id: &String| self.hosts[at].router.state.knows_upstream(id);
+            let expired = self.store.expired();
+            let mut lost = before.iter().filter(|id| expired.contains(id.as_str()));
+            let knows = |id: &String| self.hosts[at].router.state.has_upstream(id);
             let lost = lost.find(|id| !knows(id));
-            assert_eq!(lost, None, "{at}: taken for gone");
+            assert_eq!(lost, None, "{at}: removed too early");
         }
     }
 
-    /// Brings the log back, and lets all read and tell at once.
-    pub(super) fn return_store(&mut self) {
+    /// Ends the outage, and lets all routers read and publish at once.
+    pub(super) fn end_outage(&mut self) {
         let now_ms = self.now_ms();
-        let is_long = !self.store.is_up() && now_ms - self.down_since_ms >= LAPSE_MS;
-        self.store.come_back(now_ms);
+        let is_long = !self.store.is_available() && now_ms - self.down_since_ms >= ENTRY_EXPIRY_MS;
+        self.store.end_outage(now_ms);
         if !is_long {
             return;
         }
         let known: Vec<Vec<String>> = (0..ROUTERS)
             .map(|at| {
-                let is_old = self.hosts[at].started_ms < self.down_since_ms && !self.sleeps(at);
+                let is_old =
+                    self.hosts[at].started_ms < self.down_since_ms && !self.is_suspended(at);
                 let ids = self.hosts[at].router.state.change_upstreams(|u| u.ids());
                 let ids = ids.iter().map(ToString::to_string);
                 if is_old { ids.collect() } else { Vec::new() }
@@ -282,19 +296,19 @@
             .collect();
         for _ in 0..3 {
             self.tick();
-            self.check_lapsed(&known);
+            self.check_expired(&known);
         }
     }
 
-    pub(super) fn heal(&mut self) {
-        self.return_store();
+    pub(super) fn recover(&mut self) {
+        self.end_outage();
         for host in &mut self.hosts {
-            host.shut = false;
+            host.is_rejected = false;
         }
-        while (0..ROUTERS).any(|at| self.sleeps(at)) {
+        while (0..ROUTERS).any(|at| self.is_suspended(at)) {
             self.tick();
         }
-        for _ in 0..HEAL_TICKS {
+        for _ in 0..RECOVERY_TICKS {
             self.tick();
             self.check();
         }
@@ -307,7 +321,7 @@
             assert_eq!(known, evacuated, "healed");
             assert_eq!(host.router.state.deployment().version, newest, "healed");
             assert_eq!(host.router.replica.listed(), entries, "healed");
-            assert_eq!(host.router.state.upstreams_known(), entries.len(), "healed");
+            assert_eq!(host.router.state.upstream_count(), entries.len(), "healed");
         }
     }
 }
@@ -320,9 +334,9 @@
         orders: None,
         upstreams: None,
         peer: None,
-        marks: VecDeque::new(),
-        shut: false,
-        sleeps_until_ms: 0,
+        positions: VecDeque::new(),
+        is_rejected: false,
+        suspended_until_ms: 0,
         started_ms: now_ms.load(Ordering::Relaxed),
         version: 0,
     }
