--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -137,12 +137,12 @@
     ///
     /// ```
     /// use cassiagrade::cmd::CmdError;
-    /// let lost = CmdError::Raced {
+    /// let conflict = CmdError::Conflict {
     ///     winner: "id".to_owned(),
     ///     version: 2,
     ///     reason: "made against another version".to_owned(),
     /// };
-    /// assert_eq!(lost.exit_code(), std::process::ExitCode::from(4));
+    /// assert_eq!(conflict.exit_code(), std::process::ExitCode::from(4));
     /// ```
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(self.exit() as u8)
--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -1,4 +1,4 @@
-//! Faults that tests inject to verify that the fuzz tests detect them. Compiled out of other builds.
+//! Faults that tests inject to verify that the fuzz tests detect them. None is active in other builds.
 
 /// An injected fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
