--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -320,7 +320,7 @@
         if !matches!(request.stage, Stage::New | Stage::Claimed(_)) {
             return;
         }
-        if matches!(request.stage, Stage::Claimed(_)) && !mutated(Mutation::AskAgain) {
+        if matches!(request.stage, Stage::Claimed(_)) && !mutated(Mutation::ReuseClaimId) {
             let abandoned = Release {
                 id: request.claim.id.clone(),
                 key: request.claim.key.clone(),
@@ -554,12 +554,12 @@
     check_no_failure::<Claims>("claims");
 }
 
-#[test_case(Mutation::AskAgain)]
-#[test_case(Mutation::ForgetDead)]
-#[test_case(Mutation::TrustAppend)]
-#[test_case(Mutation::GiveUpSilently)]
-#[test_case(Mutation::NeverReadBack)]
-#[test_case(Mutation::NoMargin)]
+#[test_case(Mutation::ReuseClaimId)]
+#[test_case(Mutation::ForgetReleasedClaim)]
+#[test_case(Mutation::SkipReadAfterAppend)]
+#[test_case(Mutation::AbandonWithoutRelease)]
+#[test_case(Mutation::SkipReadBack)]
+#[test_case(Mutation::NoRetentionMargin)]
 fn mutation_is_detected(fault: Mutation) {
     check_mutation_detected::<Claims>("claims", fault);
 }
--- a/src/log/config.rs
+++ b/src/log/config.rs
@@ -99,7 +99,7 @@
         };
         match record.body {
             Some(Body::Change(change)) => self.apply_change(&record.id, change),
-            Some(Body::Snapshot(state)) if mutated(Mutation::SnapshotWins) => {
+            Some(Body::Snapshot(state)) if mutated(Mutation::SnapshotOverwrites) => {
                 self.state = State {
                     offset: self.state.offset,
                     ..state
@@ -113,7 +113,7 @@
 
     /// Replaces the state by that of a peer or a snapshot if that is newer; returns whether it was.
     pub fn restore(&mut self, state: State) -> bool {
-        let newer = state.offset > self.state.offset || mutated(Mutation::TakeLower);
+        let newer = state.offset > self.state.offset || mutated(Mutation::AcceptOlderState);
         if newer {
             self.state = state;
         }
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -447,12 +447,12 @@
     check_no_failure::<Configuration>("config");
 }
 
-#[test_case(Mutation::SnapshotWins)]
-#[test_case(Mutation::TakeLower)]
+#[test_case(Mutation::SnapshotOverwrites)]
+#[test_case(Mutation::AcceptOlderState)]
 #[test_case(Mutation::IgnoreVersion)]
-#[test_case(Mutation::LostIsNotApplied)]
-#[test_case(Mutation::ApplyOverGap)]
-#[test_case(Mutation::LateSnapshot)]
+#[test_case(Mutation::LostReplyIsNotApplied)]
+#[test_case(Mutation::ApplyAcrossGap)]
+#[test_case(Mutation::SnapshotCoversOwnOffset)]
 fn mutation_is_detected(fault: Mutation) {
     check_mutation_detected::<Configuration>("config", fault);
 }
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -162,7 +162,7 @@
         let id = Uuid::now_v7().to_string();
         match self.append(&id, Body::Change(change)).await {
             Ok(_) => self.confirm(&id, on_record).await,
-            Err(e @ LogError::Indeterminate { .. }) if mutated(Mutation::LostIsNotApplied) => {
+            Err(e @ LogError::Indeterminate { .. }) if mutated(Mutation::LostReplyIsNotApplied) => {
                 Err(not_applied(&e))
             }
             Err(LogError::Indeterminate { .. }) => self.confirm(&id, on_record).await,
@@ -278,7 +278,7 @@
     /// state instead would leave out the changes of the expired ones, and no later record would
     /// reveal it.
     async fn restore_snapshot(&mut self, batch: &Batch) -> Result<bool, LogError> {
-        if mutated(Mutation::ApplyOverGap) {
+        if mutated(Mutation::ApplyAcrossGap) {
             let state = State {
                 offset: batch.first,
                 ..self.fold.state().clone()
@@ -297,7 +297,7 @@
                 let joined = |s: &State| s.offset >= batch.first && s.offset <= entry.offset;
                 let newer = |s: &State| best.as_ref().is_none_or(|b| s.offset > b.offset);
                 let mut snapshot = snapshot(&entry.text);
-                if mutated(Mutation::LateSnapshot) {
+                if mutated(Mutation::SnapshotCoversOwnOffset) {
                     snapshot.iter_mut().for_each(|s| s.offset = entry.offset);
                 }
                 if let Some(state) = snapshot.filter(joined).filter(newer) {
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -169,7 +169,7 @@
 
     /// Reads until every claim is found; abandons those that aren't.
     async fn confirm(&mut self, mut undecided: Vec<PendingClaim>, end: Option<u64>) {
-        if mutated(Mutation::TrustAppend) && end.is_some() {
+        if mutated(Mutation::SkipReadAfterAppend) && end.is_some() {
             undecided
                 .into_iter()
                 .for_each(|p| p.answer(Ok(Verdict::Won)));
@@ -214,7 +214,7 @@
     /// ineffective even if the claim is appended later, and answers [`LogDown`], so that the claimant
     /// sends nothing.
     fn abandon(&mut self, pending: PendingClaim) {
-        if !mutated(Mutation::GiveUpSilently) {
+        if !mutated(Mutation::AbandonWithoutRelease) {
             self.enqueue(Body::Release(Release {
                 id: pending.claim.id.clone(),
                 key: pending.claim.key.clone(),
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -155,7 +155,7 @@
     }
 
     fn lease(&self, upstream: &Name, fencing: u64, started_ms: u64, taken_over: bool) -> Lease {
-        let from_ms = if mutated(Mutation::TermFromGrant) {
+        let from_ms = if mutated(Mutation::TermFromGrantRead) {
             self.timer.now().mono_ms
         } else {
             started_ms
@@ -170,7 +170,7 @@
 
     /// Fails while the holder of `granted` may still give orders.
     fn check_expired(&self, granted: &Granted) -> Result<(), LeaseError> {
-        if granted.ended || granted.host == self.host || mutated(Mutation::DontWait) {
+        if granted.ended || granted.host == self.host || mutated(Mutation::SkipTakeoverWait) {
             return Ok(());
         }
         let wait_ms = granted.term_ms + granted.term_ms / DRIFT_DIVISOR + 1;
@@ -233,7 +233,7 @@
         }
         if let Some(granted) = &current {
             let unread = granted.offset >= record.read_to;
-            if unread && !mutated(Mutation::GrantUnread) {
+            if unread && !mutated(Mutation::GrantWithUnreadRecords) {
                 return;
             }
             invariant(offset > granted.offset, "a fencing number went back");
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -338,9 +338,9 @@
     check_no_failure::<Leases>("leases");
 }
 
-#[test_case(Mutation::GrantUnread)]
-#[test_case(Mutation::DontWait)]
-#[test_case(Mutation::TermFromGrant)]
+#[test_case(Mutation::GrantWithUnreadRecords)]
+#[test_case(Mutation::SkipTakeoverWait)]
+#[test_case(Mutation::TermFromGrantRead)]
 fn mutation_is_detected(fault: Mutation) {
     check_mutation_detected::<Leases>("leases", fault);
 }
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -148,7 +148,7 @@
     /// Whether every claim that may precede a new one of a key with time `key_ms` has been read,
     /// except those appended since the last read.
     pub fn covers(&self, key_ms: u64) -> bool {
-        mutated(Mutation::NeverReadBack)
+        mutated(Mutation::SkipReadBack)
             || self.covered_from_ms == 0
             || self.covered_from_ms < earliest_claim_ms(key_ms)
     }
--- a/src/path/connection.rs
+++ b/src/path/connection.rs
@@ -16,7 +16,7 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::decide::connections::ConnectionQuota;
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 use crate::util::Name;
 
 /// Share of the upstream's idle timeout during which a connection is reused. The rest covers the
@@ -140,7 +140,7 @@
         .await
         .map_err(|_| ConnectError::TimedOut)?
         .context(RefusedSnafu)?;
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let io = HyperStream::new_plain(stream);
     let (sender, conn) = http1::handshake(io).await.context(HandshakeSnafu)?;
     compio::runtime::spawn(async move {
--- a/src/path/evacuations.rs
+++ b/src/path/evacuations.rs
@@ -39,7 +39,7 @@
     /// Applies the record that ends at offset `at`, and returns whether it changed anything. A
     /// record older than the applied ones is ignored: it would undo a later one.
     pub fn set(&mut self, at: u64, data_center: &str, evacuated: bool) -> bool {
-        if at <= self.at && !mutated(Mutation::TakeOldOrders) {
+        if at <= self.at && !mutated(Mutation::AcceptOldEvacuations) {
             return false;
         }
         self.at = at.max(self.at);
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -246,7 +246,7 @@
         }
         // Records that were written and removed again since the last read are missing from the
         // changes kept here.
-        if !mutated(Mutation::KeepChangesOverGap) {
+        if !mutated(Mutation::KeepChangesAcrossGap) {
             self.start_at(end);
         }
         self.is_bulk.set(true);
@@ -276,7 +276,7 @@
         self.check_clock();
         self.end_silence();
         for (at, record) in (from + 1..).zip(records) {
-            if at > self.upstreams_at.get() || mutated(Mutation::TakeOldRecords) {
+            if at > self.upstreams_at.get() || mutated(Mutation::AcceptOldRecords) {
                 self.record(at, record);
             }
         }
@@ -342,7 +342,7 @@
         let silence_ms = self.upstreams_fresh.get().age_ms(now_ms);
         if self.upstreams_at.get() > 0
             && silence_ms > ENTRY_EXPIRY_MS
-            && !mutated(Mutation::DoubtNothing)
+            && !mutated(Mutation::RemoveExpiredAtOnce)
         {
             log::info!(
                 "upstream records received again after {silence_ms} ms; removals are delayed by {REMOVAL_DELAY_MS} ms"
@@ -358,7 +358,7 @@
             return;
         }
         let is_delayed = self.clock.now_ms() < self.removals_delayed_until_ms.get();
-        if !(is_delayed && mutated(Mutation::HoldRemovalsBack)) {
+        if !(is_delayed && mutated(Mutation::WithholdUnconfirmedRemovals)) {
             self.push_change(at, id, Bytes::new());
         }
         if is_delayed {
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -136,13 +136,13 @@
     check_no_failure::<Fleet>("beliefs");
 }
 
-#[test_case(Mutation::BelieveOldMarks)]
-#[test_case(Mutation::KeepChangesOverGap)]
-#[test_case(Mutation::TakeOldRecords)]
-#[test_case(Mutation::TakeOlderVersion)]
-#[test_case(Mutation::TakeOldOrders)]
-#[test_case(Mutation::DoubtNothing)]
-#[test_case(Mutation::HoldRemovalsBack)]
+#[test_case(Mutation::KeepEvidenceAfterSuspend)]
+#[test_case(Mutation::KeepChangesAcrossGap)]
+#[test_case(Mutation::AcceptOldRecords)]
+#[test_case(Mutation::AcceptOlderVersion)]
+#[test_case(Mutation::AcceptOldEvacuations)]
+#[test_case(Mutation::RemoveExpiredAtOnce)]
+#[test_case(Mutation::WithholdUnconfirmedRemovals)]
 fn mutation_is_found(mutation: Mutation) {
     check_mutation_detected::<Fleet>("beliefs", mutation);
 }
--- a/src/path/stop.rs
+++ b/src/path/stop.rs
@@ -28,7 +28,7 @@
     path.drain.enter(Phase::Refusing);
     let left = path
         .drain
-        .ended(limit.saturating_sub(started.elapsed()))
+        .wait_until_idle(limit.saturating_sub(started.elapsed()))
         .await;
     log::info!("stopped, {left} in flight");
 }
