--- a/benches/fleet/cost.rs
+++ b/benches/fleet/cost.rs
@@ -1,4 +1,4 @@
-//! Bytes, processor time and memory of idle routers, and how fast news of one reaches all others.
+//! Traffic, CPU time and memory of idle routers, and propagation time of membership changes.
 
 use std::collections::BTreeMap;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -12,13 +12,13 @@
 use crate::support::{Fleet, Options, sleep_ms, wait_until};
 
 const WINDOW_S: u64 = 15;
-/// 2,200 engines before 390 routers.
+/// 2,200 engines per 390 routers.
 const UPSTREAMS_PER_ROUTER: f64 = 2_200.0 / 390.0;
 
 struct Row {
     routers: u8,
-    bytes_s: BTreeMap<String, f64>,
-    sent_s: f64,
+    bytes_per_s: BTreeMap<String, f64>,
+    sent_per_s: f64,
     core_share: f64,
     resident_mb: f64,
 }
@@ -34,7 +34,7 @@
     println!("|---|---|---|---|---|---|");
     for row in &rows {
         let kinds: Vec<String> = row
-            .bytes_s
+            .bytes_per_s
             .iter()
             .map(|(kind, bytes)| format!("{kind} {bytes:.0}"))
             .collect();
@@ -42,13 +42,13 @@
             "| {} | {} | {:.0} | {} | {:.2} | {:.1} |",
             row.routers,
             upstreams(row.routers),
-            row.sent_s,
+            row.sent_per_s,
             kinds.join(", "),
             row.core_share * 100.0,
             row.resident_mb
         );
     }
-    slopes(&rows);
+    print_fits(&rows);
 }
 
 fn upstreams(routers: u8) -> u32 {
@@ -61,9 +61,9 @@
     upstreams
 }
 
-/// Least squares over the sizes; each line is extended to 390 routers.
-fn slopes(rows: &[Row]) {
-    let line = |what: &str, unit: &str, value: fn(&Row) -> f64| {
+/// Prints a least-squares fit of each figure over the sizes, extrapolated to 390 routers.
+fn print_fits(rows: &[Row]) {
+    let print_fit = |what: &str, unit: &str, value: fn(&Row) -> f64| {
         let points: Vec<(f64, f64)> = rows
             .iter()
             .map(|r| (f64::from(r.routers), value(r)))
@@ -72,22 +72,26 @@
         let n = points.len() as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
-        let over: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-        let under: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-        let slope = if under > 0.0 { over / under } else { 0.0 };
+        let numerator: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+        let denominator: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+        let slope = if denominator > 0.0 {
+            numerator / denominator
+        } else {
+            0.0
+        };
         let at = mean_y + slope * (390.0 - mean_x);
-        println!("{what}: {slope:+.4} {unit} a router, at 390 routers {at:.2} {unit}");
+        println!("{what}: {slope:+.4} {unit} per router, at 390 routers {at:.2} {unit}");
     };
     println!();
-    line("sent", "B/s", |r| r.sent_s);
-    line("processor", "% of a core", |r| r.core_share * 100.0);
-    line("resident", "MB", |r| r.resident_mb);
+    print_fit("sent", "B/s", |r| r.sent_per_s);
+    print_fit("processor", "% of a core", |r| r.core_share * 100.0);
+    print_fit("resident", "MB", |r| r.resident_mb);
 }
 
 async fn measure(routers: u8) -> Row {
     let settings = json!({
         "platform": { "log_poll_ms": 500, "host_list_poll_ms": 2_000 },
-        // Long enough for all to hear of the leave before the router is gone.
+        // Long enough for all routers to receive the leave before the process exits.
         "fleet": { "entry_ttl_ms": 10_000 },
         "output": { "log_level": "warn" },
     });
@@ -105,34 +109,36 @@
     let before = samples(&fleet).await;
     let window = Instant::now();
     sleep_ms(WINDOW_S * 1_000).await;
-    let busy: Vec<u64> = samples(&fleet).await.iter().map(|s| s.busy_ns).collect();
+    let cpu_ns: Vec<u64> = samples(&fleet).await.iter().map(|s| s.cpu_ns).collect();
     let seconds = window.elapsed().as_secs_f64();
     let after = samples(&fleet).await;
-    let row = row(routers, &before, &after, &busy, seconds);
+    let row = row(routers, &before, &after, &cpu_ns, seconds);
     println!("\n{routers} routers");
-    news(&mut fleet, routers).await;
+    measure_propagation(&mut fleet, routers).await;
     row
 }
 
 #[allow(clippy::cast_precision_loss, reason = "far below 2^52")]
-fn row(routers: u8, before: &[Sample], after: &[Sample], busy: &[u64], seconds: f64) -> Row {
+fn row(routers: u8, before: &[Sample], after: &[Sample], cpu_ns: &[u64], seconds: f64) -> Row {
     let n = f64::from(routers);
-    let mut bytes_s: BTreeMap<String, f64> = BTreeMap::new();
+    let mut bytes_per_s: BTreeMap<String, f64> = BTreeMap::new();
     for (b, a) in before.iter().zip(after) {
         for (kind, bytes) in &a.bytes {
-            let was = b.bytes.get(kind).copied().unwrap_or_default();
-            *bytes_s.entry(kind.clone()).or_default() += (bytes - was) / seconds / n;
+            let previous = b.bytes.get(kind).copied().unwrap_or_default();
+            *bytes_per_s.entry(kind.clone()).or_default() += (bytes - previous) / seconds / n;
         }
     }
-    let sent = bytes_s.iter().filter(|(kind, _)| kind.starts_with("sent"));
-    let sent_s = sent.map(|(_, bytes)| bytes).sum();
-    let busy_ns: u64 = before.iter().zip(busy).map(|(b, a)| a - b.busy_ns).sum();
+    let sent = bytes_per_s
+        .iter()
+        .filter(|(kind, _)| kind.starts_with("sent"));
+    let sent_per_s = sent.map(|(_, bytes)| bytes).sum();
+    let cpu_ns: u64 = before.iter().zip(cpu_ns).map(|(b, a)| a - b.cpu_ns).sum();
     let resident_kb: u64 = after.iter().map(|s| s.resident_kb).sum();
     Row {
         routers,
-        bytes_s,
-        sent_s,
-        core_share: busy_ns as f64 / 1e9 / seconds / n,
+        bytes_per_s,
+        sent_per_s,
+        core_share: cpu_ns as f64 / 1e9 / seconds / n,
         resident_mb: resident_kb as f64 / 1_024.0 / n,
     }
 }
@@ -145,7 +151,7 @@
     samples
 }
 
-/// Upstreams that exist in the configuration alone.
+/// Adds upstreams that exist only in the configuration.
 async fn add_upstreams(fleet: &Fleet, count: u32) {
     for k in 0..count {
         let upstream = Upstream {
@@ -163,7 +169,7 @@
 async fn wait_all_alive(fleet: &Fleet) {
     let routers = fleet.routers.len();
     for i in (0..).take(routers) {
-        wait_until("all to be alive", || async {
+        wait_until("all routers to be alive", || async {
             let Ok(mut operator) = fleet.operator(i).await else {
                 return false;
             };
@@ -179,56 +185,57 @@
     }
 }
 
-/// One router is killed, comes back and leaves by plan; prints when the others knew.
-async fn news(fleet: &mut Fleet, routers: u8) {
+/// Kills, restarts and drains one router, and prints the propagation time of each change.
+async fn measure_propagation(fleet: &mut Fleet, routers: u8) {
     let last = routers - 1;
     let name = format!("router-{last}");
     let at_ms = wall_ms();
     fleet.routers[usize::from(last)].kill();
-    known(fleet, &name, "dead", at_ms, "crash").await;
+    print_propagation(fleet, &name, "dead", at_ms, "crash").await;
     let at_ms = wall_ms();
     fleet.restart_router(last);
-    known(fleet, &name, "alive", at_ms, "join").await;
+    print_propagation(fleet, &name, "alive", at_ms, "join").await;
     sleep_ms(1_000).await;
     let at_ms = wall_ms();
     fleet.routers[usize::from(last)].terminate();
-    known(fleet, &name, "leaving", at_ms, "leave").await;
+    print_propagation(fleet, &name, "leaving", at_ms, "leave").await;
 }
 
-async fn known(fleet: &Fleet, name: &str, state: &str, at_ms: u64, what: &str) {
+async fn print_propagation(fleet: &Fleet, name: &str, state: &str, at_ms: u64, what: &str) {
     let others = fleet.routers.len() - 1;
     wait_until(what, || async {
-        let times = times(fleet, name, state, at_ms);
-        times.len() == others
+        let propagation_ms = propagation_ms(fleet, name, state, at_ms);
+        propagation_ms.len() == others
     })
     .await;
-    let times = times(fleet, name, state, at_ms);
+    let propagation_ms = propagation_ms(fleet, name, state, at_ms);
     println!(
-        "{what} known to others after: p50 {} ms, max {} ms",
-        quantile(&times, 0.5),
-        quantile(&times, 1.0)
+        "{what} received by the other routers after: p50 {} ms, max {} ms",
+        quantile(&propagation_ms, 0.5),
+        quantile(&propagation_ms, 1.0)
     );
 }
 
-/// When each other router first took `name` for `state`, in milliseconds after `at_ms`, sorted.
-fn times(fleet: &Fleet, name: &str, state: &str, at_ms: u64) -> Vec<u64> {
+/// Returns the sorted delays, in milliseconds from `at_ms`, until each other router first recorded
+/// `state` for `name`.
+fn propagation_ms(fleet: &Fleet, name: &str, state: &str, at_ms: u64) -> Vec<u64> {
     let detail = format!("{name} {state} ");
     let mut first: BTreeMap<String, u64> = BTreeMap::new();
     for event in fleet.events() {
-        let told = event["detail"].as_str().unwrap_or_default();
+        let event_detail = event["detail"].as_str().unwrap_or_default();
         let host = event["host"].as_str().unwrap_or_default();
         let when = event["at_ms"].as_u64().unwrap_or_default();
         if event["kind"] == "member_changed"
-            && told.starts_with(&detail)
+            && event_detail.starts_with(&detail)
             && host != name
             && when >= at_ms
         {
             first.entry(host.to_owned()).or_insert(when - at_ms);
         }
     }
-    let mut times: Vec<u64> = first.into_values().collect();
-    times.sort_unstable();
-    times
+    let mut propagation_ms: Vec<u64> = first.into_values().collect();
+    propagation_ms.sort_unstable();
+    propagation_ms
 }
 
 fn wall_ms() -> u64 {
--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -1,10 +1,9 @@
-//! What membership, homes and planned stops cost, over router processes on one machine:
+//! Cost of membership, homes and planned stops, with router processes on one machine:
 //! `cargo build --release --examples && cargo bench --bench fleet`.
 //!
-//! One part alone: `cargo bench --bench fleet -- PART` with `cost` (sizes may follow: `cost 9 20`),
-//! `stops` or `model`. The model runs the product's own membership over a small fake network on a
-//! virtual clock; the others start processes and read their figures from their metrics, their time
-//! line and the system.
+//! To run one part: `cargo bench --bench fleet -- PART`, where PART is `cost` (sizes may follow:
+//! `cost 9 20`), `stops` or `model`. The model runs the router's membership code over a simulated
+//! network on a virtual clock. The other parts start processes and read metrics, events and /proc.
 
 mod cost;
 mod model;
@@ -44,7 +43,7 @@
     }
 }
 
-/// The value below which `share` of the sorted values lie.
+/// Returns the `share` quantile of sorted values, or 0 if there are none.
 fn quantile(sorted: &[u64], share: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
     #[allow(
--- a/benches/fleet/model.rs
+++ b/benches/fleet/model.rs
@@ -1,4 +1,4 @@
-//! The membership alone, on a virtual clock: how fast news spreads, and false removals.
+//! Membership on a virtual clock: propagation time and false removals.
 
 use cassiagrade::fleet::member::MemberState;
 use rand::Rng;
@@ -16,23 +16,23 @@
 const LIMIT_MS: u64 = 60_000;
 
 pub(crate) fn print() {
-    println!("\nMembership on a virtual clock, {RUNS} crashes and leaves a size (3 at 390)\n");
+    println!("\nMembership on a virtual clock, {RUNS} crashes and leaves per size (3 at 390)\n");
     println!(
-        "| routers | crash known to all, p50 ms | max ms | leave known to all, p50 ms | max ms | datagrams a second each |"
+        "| routers | crash detected by all, p50 ms | max ms | leave received by all, p50 ms | max ms | datagrams/s per router |"
     );
     println!("|---|---|---|---|---|---|");
     for n in SIZES {
-        spread(n);
+        measure_propagation(n);
     }
     println!("\nFalse removals in 10 minutes with 5% loss and stalls of 200 ms\n");
-    println!("| routers | stalls | suspicions | routers given up |");
+    println!("| routers | stalls | refuted suspicions | routers falsely removed |");
     println!("|---|---|---|---|");
     for n in [9, 20, 50] {
-        disturbed(n);
+        count_false_removals(n);
     }
 }
 
-fn spread(n: usize) {
+fn measure_propagation(n: usize) {
     let runs = if n > 100 { 3 } else { RUNS };
     let mut net = Net::start(n, SETTLE_MS);
     let (sent, start_ms) = (net.sent, net.now_ms);
@@ -42,13 +42,13 @@
     let mut crashes = Vec::new();
     let mut leaves = Vec::new();
     for run in 0..runs {
-        let victim = net.rng.random_range(0..n);
-        net.nodes[victim].up = false;
-        crashes.push(net.until(LIMIT_MS, |net| net.all_say(victim, MemberState::Dead)));
-        net.replace(victim, 10_000 + 1_000 * run as u64);
-        net.until(LIMIT_MS, |net| net.all_say(victim, MemberState::Alive));
+        let crashed = net.rng.random_range(0..n);
+        net.nodes[crashed].up = false;
+        crashes.push(net.until(LIMIT_MS, |net| net.all_say(crashed, MemberState::Dead)));
+        net.replace(crashed, 10_000 + 1_000 * run as u64);
+        net.until(LIMIT_MS, |net| net.all_say(crashed, MemberState::Alive));
         net.run(SETTLE_MS);
-        let leaver = (victim + 1) % n;
+        let leaver = (crashed + 1) % n;
         let now_ms = net.now_ms;
         net.nodes[leaver].swim.leave(now_ms);
         leaves.push(net.until(LIMIT_MS, |net| net.all_say(leaver, MemberState::Leaving)));
@@ -66,14 +66,14 @@
     );
 }
 
-/// Each router stalls about once in 10 s.
-fn disturbed(n: usize) {
+/// Counts false removals while each router stalls about once per 10 s.
+fn count_false_removals(n: usize) {
     let mut net = Net::start(n, SETTLE_MS);
     net.loss = 0.05;
     let mut stalls = 0;
     let mut before: u64 = incarnations(&net);
     let first = before;
-    let mut given_up = 0;
+    let mut false_removals = 0;
     let mut dead_before = vec![false; n];
     for _ in 0..6_000 {
         for i in 0..n {
@@ -83,17 +83,17 @@
             }
         }
         net.run(100);
-        for (of, was) in dead_before.iter_mut().enumerate() {
+        for (of, was_dead) in dead_before.iter_mut().enumerate() {
             let dead = (0..n).any(|at| at != of && net.state(at, of) == MemberState::Dead);
-            given_up += usize::from(dead && !*was);
-            *was = dead;
+            false_removals += usize::from(dead && !*was_dead);
+            *was_dead = dead;
         }
         before = incarnations(&net);
     }
-    println!("| {n} | {stalls} | {} | {given_up} |", before - first);
+    println!("| {n} | {stalls} | {} | {false_removals} |", before - first);
 }
 
-/// Each refutation of a suspicion raises one by one.
+/// Returns the sum of all incarnations; each refuted suspicion adds one.
 fn incarnations(net: &Net) -> u64 {
     net.nodes.iter().map(|n| n.swim.me().incarnation).sum()
 }
--- a/benches/fleet/sample.rs
+++ b/benches/fleet/sample.rs
@@ -1,4 +1,4 @@
-//! What one router process has used so far.
+//! Resource usage of a router process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,14 +6,13 @@
 
 use crate::support::get;
 
-/// Counters of one process.
+/// Counters of one process at one time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sample {
-    /// Control bytes by "way kind".
+    /// Control bytes by direction and kind, with the key "way kind".
     pub(crate) bytes: BTreeMap<String, f64>,
-    /// Processor time.
-    pub(crate) busy_ns: u64,
-    /// Resident memory.
+    /// CPU time of all threads.
+    pub(crate) cpu_ns: u64,
     pub(crate) resident_kb: u64,
 }
 
@@ -22,7 +21,7 @@
         let metrics = get(admin, "/metrics").await.unwrap_or_default();
         Self {
             bytes: control_bytes(&metrics),
-            busy_ns: busy_ns(pid),
+            cpu_ns: cpu_ns(pid),
             resident_kb: resident_kb(pid),
         }
     }
@@ -45,14 +44,14 @@
         .collect()
 }
 
-/// A metric without labels, or the sum over its labels.
+/// Returns the sum of a metric over its labels.
 pub(crate) fn metric(metrics: &str, name: &str) -> f64 {
     let lines = metrics.lines().filter(|l| l.starts_with(name));
     let values = lines.filter_map(|l| l.rsplit_once(' ')?.1.parse::<f64>().ok());
     values.sum()
 }
 
-fn busy_ns(pid: u32) -> u64 {
+fn cpu_ns(pid: u32) -> u64 {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0;
     };
--- a/benches/fleet/stops.rs
+++ b/benches/fleet/stops.rs
@@ -1,5 +1,5 @@
-//! Nine routers under load while all are restarted by plan, one after the other, and while one is
-//! killed: whom it disturbed, what hopped, and how much of the prompts was found cached.
+//! Nine routers under load during a planned rolling restart, and while one is killed: failed
+//! requests, hops, and prefix cache reuse.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
 const ENTRY_TTL_MS: u64 = 1_000;
 const PHASE_MS: u64 = 10_000;
 
-/// What the callers met.
+/// Request counts of all callers.
 #[derive(Default)]
 struct Tally {
     requests: Cell<u64>,
-    /// Whole at the first try.
+    /// Complete at the first attempt.
     first_try: Cell<u64>,
-    /// Whole after trying the next address.
+    /// Complete after a retry at another address.
     retried: Cell<u64>,
-    /// Cut, or refused everywhere.
+    /// Cut off, or refused at every address.
     failed: Cell<u64>,
     details: RefCell<Vec<String>>,
     stop: Cell<bool>,
@@ -38,7 +38,7 @@
     let settings = json!({ "fleet": { "entry_ttl_ms": ENTRY_TTL_MS, "drain_limit_ms": 20_000 } });
     let knobs = json!({ "step_ms": 5 }).to_string();
     println!(
-        "\n| nine routers, 18 engines, {CHATS} chats | requests | whole at first try | whole at the next address | cut or refused | hops a request | reuse |"
+        "\n| nine routers, 18 engines, {CHATS} chats | requests | complete at first attempt | complete after retry | cut off or refused | hops per request | reuse |"
     );
     println!("|---|---|---|---|---|---|---|");
     let options = Options::new(ROUTERS, ENGINES, 0);
@@ -53,7 +53,7 @@
     let callers: Vec<_> = (0..CHATS).map(|i| chat(&fleet, i, &tally)).collect();
     sleep_ms(5_000).await;
     phase(&fleet, &tally, "undisturbed", PHASE_MS).await;
-    let start = Figures::take(&fleet, &tally).await;
+    let start = Totals::take(&fleet, &tally).await;
     for i in 0..ROUTERS {
         fleet.routers[usize::from(i)].terminate();
         fleet.routers[usize::from(i)].wait_exit().await;
@@ -62,13 +62,13 @@
         sleep_ms(1_500).await;
     }
     start
-        .print(&fleet, &tally, "rolling restart of all nine")
+        .print(&fleet, &tally, "rolling restart of all routers")
         .await;
     phase(&fleet, &tally, "undisturbed again", PHASE_MS).await;
-    let start = Figures::take(&fleet, &tally).await;
+    let start = Totals::take(&fleet, &tally).await;
     fleet.routers[4].kill();
     sleep_ms(PHASE_MS).await;
-    start.print(&fleet, &tally, "one killed").await;
+    start.print(&fleet, &tally, "one router killed").await;
     tally.stop.set(true);
     for caller in callers {
         caller.await.unwrap();
@@ -79,13 +79,13 @@
 }
 
 async fn phase(fleet: &Fleet, tally: &Tally, name: &str, ms: u64) {
-    let start = Figures::take(fleet, tally).await;
+    let start = Totals::take(fleet, tally).await;
     sleep_ms(ms).await;
     start.print(fleet, tally, name).await;
 }
 
-/// Totals at one moment. A restarted router's counters start anew: hops are a lower bound then.
-struct Figures {
+/// Totals at one time. A restart resets a router's counters, so hops are then a lower bound.
+struct Totals {
     requests: u64,
     first_try: u64,
     retried: u64,
@@ -96,7 +96,7 @@
     cached_tokens: u64,
 }
 
-impl Figures {
+impl Totals {
     async fn take(fleet: &Fleet, tally: &Tally) -> Self {
         let (mut hops, mut served) = (0.0, 0.0);
         for i in 0..ROUTERS {
@@ -138,7 +138,7 @@
         let hops = if served > 0.0 {
             format!("{:.3}", (now.hops - self.hops) / served)
         } else {
-            "counters restarted".to_owned()
+            "counters reset".to_owned()
         };
         println!(
             "| {name} | {} | {} | {} | {} | {hops} | {:.3} |",
@@ -151,20 +151,20 @@
     }
 }
 
-/// One returning chat: asks for addresses when its answer is old, sends, waits a little.
+/// Runs one chat with several turns; renews its router addresses when their TTL has passed.
 fn chat(fleet: &Fleet, i: u32, tally: &Rc<Tally>) -> compio::runtime::JoinHandle<()> {
     let seeds: Vec<SocketAddr> = (0..ROUTERS).map(|k| fleet.caller(k)).collect();
     let tally = tally.clone();
     compio::runtime::spawn(async move {
         let caller = Caller::new(ACCOUNT_KEY);
         let mut addrs = Vec::new();
-        let mut asked = std::time::Instant::now();
+        let mut resolved_at = std::time::Instant::now();
         let mut history = format!("chat {i}:");
         while !tally.stop.get() {
-            let old = asked.elapsed().as_millis() > u128::from(ENTRY_TTL_MS);
-            if addrs.is_empty() || old {
-                addrs = entry(&caller, &seeds, i).await;
-                asked = std::time::Instant::now();
+            let expired = resolved_at.elapsed().as_millis() > u128::from(ENTRY_TTL_MS);
+            if addrs.is_empty() || expired {
+                addrs = resolve_addrs(&caller, &seeds, i).await;
+                resolved_at = std::time::Instant::now();
             }
             turn(&caller, &addrs, i, &mut history, &tally).await;
             let pause_ms = rand::rng().random_range(200..800);
@@ -173,7 +173,7 @@
     })
 }
 
-async fn entry(caller: &Caller, seeds: &[SocketAddr], i: u32) -> Vec<SocketAddr> {
+async fn resolve_addrs(caller: &Caller, seeds: &[SocketAddr], i: u32) -> Vec<SocketAddr> {
     let path = format!("/v1/entry?model=small&chat=chat-{i}");
     for _ in 0..20 {
         let seed = seeds[rand::rng().random_range(0..seeds.len())];
@@ -196,13 +196,13 @@
         *history = format!("chat {i}:");
     }
     let body = chat_body(&format!("chat-{i}"), history, TOKENS);
-    let wanted = expected_answer(history, TOKENS);
+    let expected = expected_answer(history, TOKENS);
     tally.requests.set(tally.requests.get() + 1);
     for (tried, addr) in addrs.iter().enumerate() {
         let answer = caller.chat(*addr, &body).await;
         if answer
             .as_ref()
-            .is_some_and(|a| a.status == 200 && a.whole && a.text() == wanted)
+            .is_some_and(|a| a.status == 200 && a.whole && a.text() == expected)
         {
             let count = if tried == 0 {
                 &tally.first_try
@@ -212,7 +212,7 @@
             count.set(count.get() + 1);
             return;
         }
-        let detail = told(answer.as_ref());
+        let detail = describe_failure(answer.as_ref());
         tally.details.borrow_mut().push(format!("{addr}: {detail}"));
         if answer.is_some_and(|a| !a.not_run()) {
             break;
@@ -221,14 +221,14 @@
     tally.failed.set(tally.failed.get() + 1);
 }
 
-fn told(answer: Option<&Received>) -> String {
+fn describe_failure(answer: Option<&Received>) -> String {
     match answer {
         None => "no connection".to_owned(),
         Some(a) if a.status == 200 => {
             let end: String = a.body.chars().rev().take(120).collect();
             let end: String = end.chars().rev().collect();
-            format!("broke off: {end:?}")
+            format!("answer incomplete or wrong, ends with {end:?}")
         }
-        Some(a) => format!("{}: {}", a.status, a.body),
+        Some(a) => format!("status {}: {}", a.status, a.body),
     }
 }
--- a/benches/log.rs
+++ b/benches/log.rs
@@ -1,7 +1,8 @@
-//! What the log costs: `cargo bench --bench log -- claims` and `-- config`.
+//! Cost of the log: `cargo bench --bench log -- claims` and `-- config`.
 //!
-//! Claims: appends a second, added latency and bytes read, by group window, at a load of nine
-//! routers. Configuration: from accepted to in force on nine routers, healthy and after an outage.
+//! Claims: appends per second, added latency and bytes read, by group window, at the load of nine
+//! routers. Configuration: time from acceptance of a change until nine routers apply it, in normal
+//! operation and after an outage of the platform.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -35,24 +36,24 @@
 
 #[compio::main]
 async fn main() -> Result<()> {
-    let wanted = std::env::args().nth(1).unwrap_or_default();
-    if wanted != "config" {
+    let part = std::env::args().nth(1).unwrap_or_default();
+    if part != "config" {
         claims().await?;
     }
-    if wanted != "claims" {
+    if part != "claims" {
         config().await?;
     }
     Ok(())
 }
 
-/// The platform's log, with what goes through it counted.
+/// The platform's log, with a count of the bytes read.
 #[derive(Clone)]
-struct Counted {
+struct CountingLog {
     client: Client,
     read_bytes: Rc<Cell<usize>>,
 }
 
-impl Log for Counted {
+impl Log for CountingLog {
     async fn append(
         &self,
         stream: &str,
@@ -75,24 +76,24 @@
 }
 
 async fn claims() -> Result<()> {
-    println!("claims: every slot's reader in one task; claims and outcomes for each request");
+    println!("claims: the readers of all slots in one task; one claim and one outcome per request");
     println!(
         "requests/s  log ms  window ms  appends/s  added ms p50  p99  max  bytes read/s/router"
     );
     for (per_s, delay_ms) in [(30, 5), (300, 5), (1_000, 5), (300, 50)] {
         for window_ms in [0, 15, 30, 60, 120] {
-            one_window(per_s, delay_ms, window_ms).await?;
+            measure_window(per_s, delay_ms, window_ms).await?;
         }
     }
     Ok(())
 }
 
-async fn one_window(per_s: u32, delay_ms: u64, window_ms: u64) -> Result<()> {
-    let platform = Platform::bind(any()).await?;
+async fn measure_window(per_s: u32, delay_ms: u64, window_ms: u64) -> Result<()> {
+    let platform = Platform::bind(loopback_addr()).await?;
     set_knobs(&platform, &format!(r#"{{"delay_ms":{delay_ms}}}"#)).await?;
     let client = Client::open(&platform.addr.to_string(), Duration::from_secs(1))?;
     let read_bytes = Rc::new(Cell::new(0));
-    let log = Counted {
+    let log = CountingLog {
         client,
         read_bytes: read_bytes.clone(),
     };
@@ -111,7 +112,7 @@
         compio::time::sleep(due.saturating_sub(start.elapsed())).await;
         compio::runtime::spawn(request(claimant.clone(), added_us.clone())).detach();
     }
-    let appends = count(&platform).await?;
+    let appends = append_count(&platform).await?;
     let bytes = read_bytes.get() / usize::try_from(ROUTERS)?;
     let seconds = start.elapsed().as_secs_f64();
     let mut added_us = added_us.take();
@@ -131,9 +132,9 @@
 async fn request(claimant: Claimant, added_us: Rc<RefCell<Vec<u128>>>) {
     let key = Uuid::now_v7();
     let claim = slot::mint(&format!("acme/{key}"), "router-1", 1, 60_000);
-    let begun = Instant::now();
+    let start = Instant::now();
     let verdict = claimant.claim(claim.clone(), wall_ms()).await;
-    added_us.borrow_mut().push(begun.elapsed().as_micros());
+    added_us.borrow_mut().push(start.elapsed().as_micros());
     assert!(matches!(verdict, Ok(Verdict::Won)), "{verdict:?}");
     let outcome = Outcome {
         id: claim.id,
@@ -148,7 +149,7 @@
 
 async fn config() -> Result<()> {
     let outage_s: u64 = std::env::var("OUTAGE_S").map_or(Ok(60), |v| v.parse())?;
-    let platform = Platform::bind(any()).await?;
+    let platform = Platform::bind(loopback_addr()).await?;
     let mut operators = Vec::new();
     for i in 0..ROUTERS {
         let router = spawn_router(&platform, i).await?;
@@ -157,12 +158,12 @@
     let mut healthy_us = Vec::new();
     for i in 0..CHANGES {
         let accepted = apply(&mut operators, i).await?;
-        healthy_us.push(in_force(&mut operators, accepted).await?);
+        healthy_us.push(wait_in_force(&mut operators, accepted).await?);
     }
     report("healthy", &mut healthy_us);
     set_knobs(&platform, r#"{"outage":true}"#).await?;
     compio::time::sleep(Duration::from_secs(outage_s)).await;
-    let ended = Instant::now();
+    let outage_end = Instant::now();
     set_knobs(&platform, "{}").await?;
     let accepted = loop {
         match apply(&mut operators, CHANGES).await {
@@ -170,15 +171,15 @@
             Err(_) => compio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    let told = ended.elapsed();
-    let mut after_us = vec![in_force(&mut operators, accepted).await?];
+    let accept_delay = outage_end.elapsed();
+    let mut after_us = vec![wait_in_force(&mut operators, accepted).await?];
     for i in 0..CHANGES / 2 {
         let accepted = apply(&mut operators, CHANGES + 1 + i).await?;
-        after_us.push(in_force(&mut operators, accepted).await?);
+        after_us.push(wait_in_force(&mut operators, accepted).await?);
     }
     println!(
-        "after an outage of {outage_s} s: accepted {} ms after its end",
-        told.as_millis()
+        "after an outage of {outage_s} s: first change accepted {} ms after its end",
+        accept_delay.as_millis()
     );
     report("just after the outage", &mut after_us);
     Ok(())
@@ -215,15 +216,15 @@
     Ok(reply.version)
 }
 
-/// Time until every router has `version`, from now.
-async fn in_force(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
-    let begun = Instant::now();
+/// Waits until every router has `version`, and returns the time from the call in microseconds.
+async fn wait_in_force(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
+    let start = Instant::now();
     for operator in operators {
         while operator.config().await?.version < version {
             compio::time::sleep(Duration::from_millis(2)).await;
         }
     }
-    Ok(begun.elapsed().as_micros())
+    Ok(start.elapsed().as_micros())
 }
 
 async fn spawn_router(platform: &Platform, i: u64) -> Result<Router> {
@@ -248,14 +249,14 @@
     Ok(())
 }
 
-async fn count(platform: &Platform) -> Result<u32> {
+async fn append_count(platform: &Platform) -> Result<u32> {
     let client = cyper::Client::new()?;
     let url = format!("http://{}/counts", platform.addr);
     let text = client.get(url)?.send().await?.text().await?;
     Ok(serde_json::from_str(&text)?)
 }
 
-fn any() -> SocketAddr {
+fn loopback_addr() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
--- a/benches/path/fleet.rs
+++ b/benches/path/fleet.rs
@@ -1,4 +1,4 @@
-//! Two routers and their stand-ins, each on a thread of its own.
+//! Two routers and their stand-ins, each on its own thread.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use standins::platform::{Host, Platform};
 use strum::Display;
 
-use crate::Failure;
+use crate::BoxError;
 
 const ACCOUNT_KEY: &str = "bench-account-key";
 const OPERATOR_KEY: &str = "bench-operator-key";
@@ -27,33 +27,33 @@
 const OPERATOR_PORT: u16 = 7003;
 const CALLER_PORT: u16 = 7001;
 const TOKENS: u32 = 8;
-/// Engines and plain services of the throughput run: enough that the router is the narrow place.
+/// Engines and plain services each: enough to make the router the bottleneck of throughput runs.
 const UPSTREAMS: u8 = 3;
-/// The data centre of all upstreams, and so of their home.
-const HOME: &str = "north";
+/// Data centre of all upstreams, and so of their home.
+const HOME_DATA_CENTER: &str = "north";
 const CPU_SAMPLE: Duration = Duration::from_millis(10);
 
-/// How a request reaches its upstream.
+/// The route of a request to its upstream.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Way {
-    /// The caller calls the upstream itself.
+pub(crate) enum Route {
+    /// Directly from the caller.
     Direct,
     /// Through the upstream's home.
     Router,
-    /// Through another router, which passes it on to the home.
+    /// Through another router, which forwards the request to the home.
     Hop,
 }
 
-/// One kind of request.
-pub(crate) struct Call {
+/// A kind of request, with the upstream address for direct requests.
+pub(crate) struct RequestKind {
     pub(crate) name: &'static str,
     pub(crate) path: &'static str,
     pub(crate) body: String,
     pub(crate) direct: SocketAddr,
 }
 
-/// The running threads; they end with the process.
+/// Addresses of the running fleet; its threads end with the process.
 pub(crate) struct Fleet {
     pub(crate) home: SocketAddr,
     pub(crate) other: SocketAddr,
@@ -63,11 +63,11 @@
 }
 
 impl Fleet {
-    pub(crate) fn start() -> Result<Self, Failure> {
+    pub(crate) fn start() -> Result<Self, BoxError> {
         Exporter::install()?;
         let platform = on_thread(async || {
             let platform = Platform::bind(addr(250, STANDIN_PORT)).await.unwrap();
-            for (i, data_center) in [(1, HOME), (2, "south")] {
+            for (i, data_center) in [(1, HOME_DATA_CENTER), (2, "south")] {
                 platform.list_host(host(i, data_center));
             }
             platform.addr
@@ -75,7 +75,7 @@
         let engines: Vec<_> = (0..UPSTREAMS).map(start_engine).collect();
         let plains: Vec<_> = (0..UPSTREAMS).map(start_plain).collect();
         let home_cpu_ns = Arc::new(AtomicU64::new(0));
-        let home = start_router(1, HOME, platform, Some(home_cpu_ns.clone()));
+        let home = start_router(1, HOME_DATA_CENTER, platform, Some(home_cpu_ns.clone()));
         let other = start_router(2, "south", platform, None);
         let fleet = Self {
             home,
@@ -89,7 +89,7 @@
         Ok(fleet)
     }
 
-    pub(crate) fn calls(&self) -> [Call; 2] {
+    pub(crate) fn request_kinds(&self) -> [RequestKind; 2] {
         let chat = serde_json::json!({
             "model": "small",
             "stream": true,
@@ -98,13 +98,13 @@
             "messages": [{ "role": "user", "content": "Which parts does this hub need?" }],
         });
         [
-            Call {
-                name: "counter call",
+            RequestKind {
+                name: "plain request",
                 path: "/records/lookup",
                 body: "bike 7".to_owned(),
                 direct: self.plain,
             },
-            Call {
+            RequestKind {
                 name: "chat of 8 streamed tokens",
                 path: "/v1/chat/completions",
                 body: chat.to_string(),
@@ -113,27 +113,27 @@
         ]
     }
 
-    pub(crate) fn url(&self, call: &Call, way: Way) -> String {
-        let addr = match way {
-            Way::Direct => call.direct,
-            Way::Router => self.home,
-            Way::Hop => self.other,
+    pub(crate) fn url(&self, kind: &RequestKind, route: Route) -> String {
+        let addr = match route {
+            Route::Direct => kind.direct,
+            Route::Router => self.home,
+            Route::Hop => self.other,
         };
-        format!("http://{addr}{}", call.path)
+        format!("http://{addr}{}", kind.path)
     }
 
     pub(crate) fn account_key(&self) -> &'static str {
         ACCOUNT_KEY
     }
 
-    /// CPU time that the home's thread has used.
+    /// Returns the CPU time of the home's thread.
     pub(crate) fn home_cpu(&self) -> Duration {
         std::thread::sleep(CPU_SAMPLE * 2);
         Duration::from_nanos(self.home_cpu_ns.load(Ordering::Relaxed))
     }
 }
 
-/// Runs `start` on a thread with a runtime of its own, which goes on afterwards.
+/// Runs `start` on a new thread with its own runtime, which keeps running afterwards.
 fn on_thread<T, F>(start: F) -> T
 where
     T: Send + 'static,
@@ -149,7 +149,7 @@
     rx.recv().unwrap()
 }
 
-/// An address in a loopback network that belongs to this process.
+/// Returns an address in this process's own loopback network, derived from its id.
 fn addr(last: u8, port: u16) -> SocketAddr {
     let pid = std::process::id();
     let third = u8::try_from(pid % 250).unwrap() + 1;
@@ -213,7 +213,7 @@
     })
 }
 
-/// Publishes this thread's CPU time; its first field is nanoseconds on a core.
+/// Publishes this thread's CPU time: the first field of schedstat, in nanoseconds.
 async fn sample_cpu(cpu: Arc<AtomicU64>) {
     loop {
         let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap();
@@ -223,7 +223,7 @@
     }
 }
 
-async fn configure(engines: &[SocketAddr], plains: &[SocketAddr]) -> Result<(), Failure> {
+async fn configure(engines: &[SocketAddr], plains: &[SocketAddr]) -> Result<(), BoxError> {
     let mut caller = OperatorCaller::open(addr(1, OPERATOR_PORT), OPERATOR_KEY).await?;
     let mut ops = vec![
         Op::PutAccount(Account {
@@ -260,7 +260,7 @@
         let reply = caller.apply(ApplyRequest { change }).await?;
         assert!(reply.accepted, "{reply:?}");
     }
-    // The other router follows the log and the list of hosts.
+    // Time for the other router to read the log and the host list.
     compio::time::sleep(Duration::from_secs(2)).await;
     Ok(())
 }
@@ -271,7 +271,7 @@
             name: format!("{service}-{i}"),
             service: service.to_owned(),
             addr: addr.to_string(),
-            data_center: HOME.to_owned(),
+            data_center: HOME_DATA_CENTER.to_owned(),
             slots: 4_096,
             ..Upstream::default()
         })
--- a/benches/path/load.rs
+++ b/benches/path/load.rs
@@ -1,4 +1,4 @@
-//! Callers of the bench.
+//! Callers of the benchmark.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,44 +7,44 @@
 use futures_util::future::join_all;
 use http::HeaderMap;
 
-use crate::Failure;
-use crate::fleet::{Call, Fleet, Way};
+use crate::BoxError;
+use crate::fleet::{Fleet, RequestKind, Route};
 
-/// What a flood achieved.
+/// Result of a throughput run.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Done {
+pub(crate) struct LoadResult {
     pub(crate) answered: u32,
     pub(crate) failed: u32,
     pub(crate) took: Duration,
 }
 
-/// One request from its first byte to the last of its answer.
-pub(crate) async fn once(
+/// Sends a request and returns the time until its whole answer has been read.
+pub(crate) async fn timed_request(
     client: &cyper::Client,
     fleet: &Fleet,
-    call: &Call,
-    way: Way,
-) -> Result<Duration, Failure> {
-    let url = fleet.url(call, way);
+    kind: &RequestKind,
+    route: Route,
+) -> Result<Duration, BoxError> {
+    let url = fleet.url(kind, route);
     let start = Instant::now();
-    let headers = ask(client, &url, fleet.account_key(), &call.body).await?;
+    let headers = send_request(client, &url, fleet.account_key(), &kind.body).await?;
     let took = start.elapsed();
     let home = headers.get("x-home").map(|v| v.as_bytes().to_vec());
-    // Whether there was a hop is what is measured: a fleet in another shape must not pass.
-    let wanted = (way != Way::Direct).then(|| b"router-1".to_vec());
-    if home != wanted {
-        return Err(format!("{way}: home {home:?}").into());
+    // An unexpected home means that the request did not take the route to be measured.
+    let expected = (route != Route::Direct).then(|| b"router-1".to_vec());
+    if home != expected {
+        return Err(format!("route {route}: x-home was {home:?}, expected {expected:?}").into());
     }
     Ok(took)
 }
 
-/// Sends a request and reads its whole answer.
-async fn ask(
+/// Sends a request, reads its whole answer and returns the response headers.
+async fn send_request(
     client: &cyper::Client,
     url: &str,
     key: &str,
     body: &str,
-) -> Result<HeaderMap, Failure> {
+) -> Result<HeaderMap, BoxError> {
     let request = client
         .post(url)?
         .bearer_auth(key)?
@@ -58,49 +58,49 @@
     Ok(headers)
 }
 
-/// Callers on `threads` threads send one request after the other to the home for `length`.
-pub(crate) fn flood(
+/// Runs closed-loop callers on `threads` threads against the home router for `length`.
+pub(crate) fn generate_load(
     fleet: &Fleet,
-    call: &Call,
+    kind: &RequestKind,
     callers: u32,
     threads: u32,
     length: Duration,
-) -> Result<Done, Failure> {
-    let url = fleet.url(call, Way::Router);
+) -> Result<LoadResult, BoxError> {
+    let url = fleet.url(kind, Route::Router);
     let start = Instant::now();
     let counts = std::thread::scope(|scope| {
         let spawn = |_| {
-            let (url, key, body) = (&url, fleet.account_key(), &call.body);
-            scope.spawn(move || callers_of_thread(url, key, body, callers / threads, length))
+            let (url, key, body) = (&url, fleet.account_key(), &kind.body);
+            scope.spawn(move || run_callers(url, key, body, callers / threads, length))
         };
         let running: Vec<_> = (0..threads).map(spawn).collect();
         let ended = running.into_iter().map(|t| t.join());
-        ended.collect::<Result<Vec<Done>, _>>()
+        ended.collect::<Result<Vec<LoadResult>, _>>()
     });
-    let counts = counts.map_err(|_| "a caller's thread panicked")?;
-    Ok(Done {
+    let counts = counts.map_err(|_| "a caller thread panicked")?;
+    Ok(LoadResult {
         answered: counts.iter().map(|c| c.answered).sum(),
         failed: counts.iter().map(|c| c.failed).sum(),
         took: start.elapsed(),
     })
 }
 
-fn callers_of_thread(url: &str, key: &str, body: &str, callers: u32, length: Duration) -> Done {
-    let done = Rc::new(Cell::new(Done::default()));
+fn run_callers(url: &str, key: &str, body: &str, callers: u32, length: Duration) -> LoadResult {
+    let result = Rc::new(Cell::new(LoadResult::default()));
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let client = cyper::Client::new().unwrap();
         let end = Instant::now() + length;
         let caller = |_| async {
             while Instant::now() < end {
-                let answered = ask(&client, url, key, body).await.is_ok();
-                let mut counts = done.get();
+                let answered = send_request(&client, url, key, body).await.is_ok();
+                let mut counts = result.get();
                 counts.answered += u32::from(answered);
                 counts.failed += u32::from(!answered);
-                done.set(counts);
+                result.set(counts);
             }
         };
         join_all((0..callers).map(caller)).await;
     });
-    done.get()
+    result.get()
 }
--- a/benches/policies/cost.rs
+++ b/benches/policies/cost.rs
@@ -1,4 +1,4 @@
-//! What one placement decision costs, and how that grows with the pool.
+//! Cost of one placement decision, by pool size.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -14,7 +14,7 @@
     for engines in [18, 200, 2_200] {
         let ns = best_ns(engines);
         let slope = last.map(|(n, was)| (ns - was) / (engines - n) as f64);
-        let slope = slope.map_or(String::new(), |s| format!("  slope {s:.2} ns an engine"));
+        let slope = slope.map_or(String::new(), |s| format!("  slope {s:.2} ns per engine"));
         println!("{engines:>6} engines  {ns:>8.0} ns{slope}");
         last = Some((engines, ns));
     }
--- a/benches/policies/main.rs
+++ b/benches/policies/main.rs
@@ -1,10 +1,10 @@
-//! Placement and admission measured on a virtual clock with fixed seeds, with the product's own
-//! decision modules and the usual policies beside them: `cargo bench --bench policies`.
+//! Compares the router's placement and admission with common baselines, on a virtual clock with
+//! fixed seeds: `cargo bench --bench policies`.
 //!
-//! Engines are modelled as slots and a least-recently-used prefix cache; everything else, from
-//! the order of a chat to the refusal, is the code that the router runs. Loads are seen as stale
-//! and as incomplete as gossip makes them. One part alone: `cargo bench --bench policies -- PART`
-//! with `reuse`, `overload`, `surge`, `patterns` or `cost`.
+//! An engine is modelled as slots and an LRU prefix cache. Engine order, queueing and refusals use
+//! the router's own decision modules. Load reports are delayed and lost as they are with gossip.
+//! To run one part: `cargo bench --bench policies -- PART`, where PART is `reuse`, `overload`,
+//! `surge`, `patterns` or `cost`.
 
 mod cost;
 mod sim;
--- a/benches/policies/sim/mod.rs
+++ b/benches/policies/sim/mod.rs
@@ -1,4 +1,4 @@
-//! The virtual clock: events, routers with stale views, and what callers receive.
+//! Discrete-event simulation of callers, routers and engines on a virtual clock.
 
 mod callers;
 mod engines;
@@ -19,18 +19,18 @@
 use model::{ACCOUNTS, CACHE_TOKENS, Chat, Engine, Request, SLOTS, Setup};
 pub(crate) use outcome::{Outcome, quantile};
 
-/// Before this nothing is measured.
+/// Requests first sent before this time are not measured.
 const WARM_UP_MS: u64 = 120_000;
-/// A change of the pool excuses this much.
-const QUIET_MS: u64 = 2_000;
+/// Time after a pool change in which skew is not sampled.
+const SETTLE_MS: u64 = 2_000;
 const TICK_MS: u64 = 20;
-const MAX_TRIES: u32 = 3;
+const MAX_RETRIES: u32 = 3;
 const NEVER_MS: u64 = u64::MAX / 2;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Arrive(usize),
-    Return(usize),
+    Retry(usize),
     Done(usize, u64),
     Report,
     Sample,
@@ -38,9 +38,9 @@
     Tick,
 }
 
-/// What a router last heard of an engine.
+/// Load of an engine, as current or as last reported.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct EngineLoad {
     work_ms: f64,
     free: u32,
 }
@@ -56,25 +56,27 @@
     names: Vec<Name>,
     alive: Vec<usize>,
     pool: PoolIndex,
-    /// By router: what it believes of each engine.
-    views: Vec<Vec<Seen>>,
-    memory: Vec<LruCache<(usize, u32)>>,
+    /// By router and engine: the last reported load.
+    views: Vec<Vec<EngineLoad>>,
+    /// By router: the last engine of each chat, and the chat's tokens.
+    chat_engines: Vec<LruCache<(usize, u32)>>,
     chats: Vec<Chat>,
-    ready: Vec<BinaryHeap<Reverse<(u64, usize)>>>,
+    /// By account: the time of the next request of each idle chat.
+    next_turns: Vec<BinaryHeap<Reverse<(u64, usize)>>>,
     requests: HashMap<u64, (Request, usize)>,
     started: HashMap<u64, u64>,
     next_id: u64,
     changed_ms: u64,
-    robin: usize,
+    round_robin: usize,
     accounts: Vec<Name>,
     out: Outcome,
 }
 
-fn mean_ms(seen: &[Seen]) -> f64 {
-    seen.iter().map(|s| s.work_ms).sum::<f64>() / seen.len() as f64
+fn mean_work_ms(loads: &[EngineLoad]) -> f64 {
+    loads.iter().map(|l| l.work_ms).sum::<f64>() / loads.len() as f64
 }
 
-/// Runs one setup to its end.
+/// Runs one setup and returns its results.
 pub(crate) fn run(setup: &Setup) -> Outcome {
     let mut sim = Sim::new(setup.clone());
     sim.run();
@@ -94,14 +96,14 @@
             alive: Vec::new(),
             pool: PoolIndex::default(),
             views: vec![Vec::new(); setup.routers],
-            memory: (0..setup.routers).map(|_| LruCache::new(200_000)).collect(),
+            chat_engines: (0..setup.routers).map(|_| LruCache::new(200_000)).collect(),
             chats: Vec::new(),
-            ready: vec![BinaryHeap::new(); ACCOUNTS.len()],
+            next_turns: vec![BinaryHeap::new(); ACCOUNTS.len()],
             requests: HashMap::new(),
             started: HashMap::new(),
             next_id: 0,
             changed_ms: 0,
-            robin: 0,
+            round_robin: 0,
             accounts: (0..ACCOUNTS.len())
                 .map(|i| format!("account-{i}").into())
                 .collect(),
@@ -114,8 +116,8 @@
             setup,
         };
         for i in 0..sim.setup.engines {
-            let slow = if i == 0 { sim.setup.slow } else { 1.0 };
-            sim.join(slow);
+            let slowdown = if i == 0 { sim.setup.slowdown } else { 1.0 };
+            sim.join(slowdown);
         }
         for account in 0..ACCOUNTS.len() {
             sim.push(0, Event::Arrive(account));
@@ -143,7 +145,7 @@
             self.now_ms = at_ms;
             match event {
                 Event::Arrive(account) => self.arrive(account),
-                Event::Return(id) => self.come_back(id as u64),
+                Event::Retry(id) => self.retry(id as u64),
                 Event::Done(engine, id) => self.done(engine, id),
                 Event::Report => self.report(),
                 Event::Sample => self.sample(),
@@ -153,7 +155,7 @@
         }
     }
 
-    fn join(&mut self, slow: f64) {
+    fn join(&mut self, slowdown: f64) {
         let at = self.engines.len();
         let policy = if self.setup.admission {
             HomePolicy {
@@ -175,20 +177,20 @@
             cache_tokens: CACHE_TOKENS,
             ..policy
         };
-        self.engines.push(Engine::new(self.now_ms, slow));
+        self.engines.push(Engine::new(self.now_ms, slowdown));
         self.homes.push(Home::new(policy));
         self.names.push(format!("engine-{at}").into());
         for view in &mut self.views {
-            view.push(Seen {
+            view.push(EngineLoad {
                 work_ms: 0.0,
                 free: SLOTS,
             });
         }
         self.alive.push(at);
-        self.index();
+        self.rebuild_index();
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         let names = self.alive.iter().map(|e| self.names[*e].clone());
         self.pool = PoolIndex::new(names.collect());
     }
@@ -196,60 +198,60 @@
     fn report(&mut self) {
         for router in 0..self.setup.routers {
             for engine in self.alive.clone() {
-                if self.setup.lost == 0.0 || !self.rng.random_bool(self.setup.lost) {
-                    self.views[router][engine] = self.exact(engine);
+                if self.setup.report_loss == 0.0 || !self.rng.random_bool(self.setup.report_loss) {
+                    self.views[router][engine] = self.current_load(engine);
                 }
             }
         }
-        self.push(self.now_ms + self.setup.stale_ms, Event::Report);
+        self.push(self.now_ms + self.setup.report_interval_ms, Event::Report);
     }
 
     fn sample(&mut self) {
-        let quiet = self.now_ms > self.changed_ms + QUIET_MS;
+        let quiet = self.now_ms > self.changed_ms + SETTLE_MS;
         if self.now_ms > WARM_UP_MS && quiet {
             let work = self.alive.iter().map(|e| self.homes[*e].work_ms());
             let work: Vec<f64> = work.collect();
-            let mean_ms = work.iter().sum::<f64>() / work.len() as f64;
+            let mean_work_ms = work.iter().sum::<f64>() / work.len() as f64;
             let (busiest, most_ms) = work
                 .iter()
                 .copied()
                 .enumerate()
                 .fold((0, 0.0), |a, b| if b.1 > a.1 { b } else { a });
-            if mean_ms > 0.0 {
-                self.out.skews.push(most_ms / mean_ms);
-                let bound_ms = 1.25 * mean_ms + self.largest_job_ms(self.alive[busiest]);
+            if mean_work_ms > 0.0 {
+                self.out.skews.push(most_ms / mean_work_ms);
+                let bound_ms = 1.25 * mean_work_ms + self.largest_job_ms(self.alive[busiest]);
                 self.out.over_bound += u32::from(most_ms > bound_ms);
             }
         }
         self.push(self.now_ms + 1_000, Event::Sample);
     }
 
-    /// The largest job in flight at an engine, as its home estimated it.
+    /// Returns the largest estimated decode time of a job on `engine`.
     fn largest_job_ms(&self, engine: usize) -> f64 {
-        let on_it = self.requests.values().filter(|(_, e)| *e == engine);
+        let on_engine = self.requests.values().filter(|(_, e)| *e == engine);
         let decode_ms = Rates::default().decode_ms;
-        let work = on_it.map(|(r, _)| f64::from(r.guessed_output) * decode_ms);
+        let work = on_engine.map(|(r, _)| f64::from(r.estimated_output) * decode_ms);
         work.fold(0.0, f64::max)
     }
 
-    /// One engine goes, and a fresh one takes its place.
+    /// Replaces a random engine by one with an empty cache, and places its requests again.
     fn replace(&mut self) {
         let at = self.rng.random_range(0..self.alive.len());
         let old = self.alive.remove(at);
         self.engines[old].alive = false;
         self.changed_ms = self.now_ms;
-        let slow = self.engines[old].slow;
-        self.join(slow);
-        if self.setup.planned {
-            self.hand_on(old);
+        let slowdown = self.engines[old].slowdown;
+        self.join(slowdown);
+        if self.setup.planned_leave {
+            self.transfer_cache(old);
         }
-        let lost: Vec<u64> = {
+        let displaced: Vec<u64> = {
             let on_old = self.requests.iter().filter(|(_, (_, e))| *e == old);
             let mut ids: Vec<u64> = on_old.map(|(id, _)| *id).collect();
             ids.sort_unstable();
             ids
         };
-        for id in lost {
+        for id in displaced {
             if let Some((request, _)) = self.requests.remove(&id) {
                 self.started.remove(&id);
                 self.offer(Request {
@@ -262,7 +264,8 @@
         self.push(self.now_ms + (1.0 / per_ms) as u64, Event::Replace);
     }
 
-    fn hand_on(&mut self, old: usize) {
+    /// Copies the cached prefixes of `old` to the next engine in each chat's order.
+    fn transfer_cache(&mut self, old: usize) {
         let mut chats: Vec<(ChatKey, u32)> = self.engines[old]
             .cache
             .recent()
--- a/benches/policies/sim/model.rs
+++ b/benches/policies/sim/model.rs
@@ -1,24 +1,24 @@
-//! The modelled sites, callers and engines.
+//! The model: run setups, callers and engines.
 
 use cassiagrade::decide::ChatKey;
 use cassiagrade::decide::lru::LruCache;
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Jobs an engine runs at once.
+/// Concurrent jobs per engine.
 pub(crate) const SLOTS: u32 = 32;
-/// Tokens an engine's prefix cache holds.
+/// Capacity of an engine's prefix cache, in tokens.
 pub(crate) const CACHE_TOKENS: u64 = 600_000;
-/// Engine time of a mean job in the trial's mix with a warm cache.
+/// Mean engine time of a job in the modelled request mix with a warm cache.
 const MEAN_JOB_MS: f64 = 5_300.0;
-/// Share of answered chats that return.
+/// Share of answered chats that send another request.
 const RETURN_SHARE: f64 = 0.85;
-/// A chat ends when its context has grown to this.
+/// Context length at which a chat ends, in tokens.
 const MAX_CONTEXT: u32 = 20_000;
-/// Callers stop waiting this long after they first asked.
-pub(crate) const PATIENCE_MS: u64 = 90_000;
+/// Time from the first attempt after which a caller gives up.
+pub(crate) const CALLER_TIMEOUT_MS: u64 = 90_000;
 
-/// How work is sent to engines.
+/// The placement policy; `Ours` is the router's own, the rest are baselines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Policy {
     Random,
@@ -28,43 +28,44 @@
     Ours,
 }
 
-/// One run's conditions.
+/// Conditions of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) policy: Policy,
     pub(crate) engines: usize,
     pub(crate) routers: usize,
-    /// Offered work over capacity.
+    /// Offered load as a share of capacity.
     pub(crate) load: f64,
     pub(crate) secs: u64,
-    /// Share of the engines replaced a minute.
+    /// Share of the engines replaced per minute.
     pub(crate) churn: f64,
-    /// A replaced engine hands its cached prefixes on first.
-    pub(crate) planned: bool,
-    /// Displaced chats bring their prefix along where that is cheaper.
+    /// Whether a replaced engine first transfers its cached prefixes.
+    pub(crate) planned_leave: bool,
+    /// Whether the prefix of a chat that changes engines is imported where that is cheaper than
+    /// a prefill.
     pub(crate) import: bool,
-    /// Age of the load reports.
-    pub(crate) stale_ms: u64,
-    /// Share of the load reports that get lost.
-    pub(crate) lost: f64,
-    /// Spread of the estimates of output length (log-normal sigma).
-    pub(crate) guess: f64,
-    /// Fair queue, deadlines and shedding; without it, first in first out.
+    /// Interval of the load reports, and so their greatest age.
+    pub(crate) report_interval_ms: u64,
+    /// Share of the load reports that are lost.
+    pub(crate) report_loss: f64,
+    /// Log-normal sigma of the output length estimates.
+    pub(crate) estimate_sigma: f64,
+    /// Whether fair queueing, deadlines and shedding are on; FIFO if not.
     pub(crate) admission: bool,
     pub(crate) surge: Option<Surge>,
-    /// Share of the requests that are for one chat.
-    pub(crate) hot_chat: f64,
-    /// One engine this much slower than its pool.
-    pub(crate) slow: f64,
-    /// Share of the requests that are ten times as long.
-    pub(crate) long_jobs: f64,
+    /// Share of the requests that belong to one chat.
+    pub(crate) hot_chat_share: f64,
+    /// Factor by which the first engine is slower than the rest of its pool.
+    pub(crate) slowdown: f64,
+    /// Share of the requests with ten times the output.
+    pub(crate) long_job_share: f64,
     pub(crate) epsilon: f64,
     pub(crate) width: usize,
     pub(crate) seed: u64,
 }
 
 impl Setup {
-    /// Half load, nothing out of the ordinary.
+    /// Half load without faults, churn or surges.
     pub(crate) const DEFAULT: Self = Self {
         policy: Policy::Ours,
         engines: 18,
@@ -72,16 +73,16 @@
         load: 0.5,
         secs: 1_200,
         churn: 0.0,
-        planned: false,
+        planned_leave: false,
         import: true,
-        stale_ms: 1_000,
-        lost: 0.0,
-        guess: 0.0,
+        report_interval_ms: 1_000,
+        report_loss: 0.0,
+        estimate_sigma: 0.0,
         admission: true,
         surge: None,
-        hot_chat: 0.0,
-        slow: 1.0,
-        long_jobs: 0.0,
+        hot_chat_share: 0.0,
+        slowdown: 1.0,
+        long_job_share: 0.0,
         epsilon: 0.25,
         width: 6,
         seed: 1,
@@ -94,32 +95,32 @@
     }
 }
 
-/// A time in which accounts send more than usual.
+/// A period of raised request rates.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Surge {
     pub(crate) from_ms: u64,
     pub(crate) to_ms: u64,
     pub(crate) factor: f64,
-    /// Only the largest account surges.
+    /// Whether only the largest account surges.
     pub(crate) largest_only: bool,
 }
 
-/// Shares of the traffic of a dozen accounts, three of them large.
+/// Traffic shares of twelve accounts, three of them large.
 pub(crate) const ACCOUNTS: [f64; 12] = [
     0.55, 0.12, 0.09, 0.04, 0.04, 0.03, 0.03, 0.02, 0.02, 0.02, 0.02, 0.02,
 ];
 
-/// Accounts from this one on are small.
+/// Index of the first small account.
 pub(crate) const SMALL_FROM: usize = 3;
 
 impl Setup {
     pub(crate) fn rate_per_ms(&self) -> f64 {
-        let stretch = 1.0 + self.long_jobs * 9.0;
-        self.load * self.engines as f64 * f64::from(SLOTS) / (MEAN_JOB_MS * stretch)
+        let mean_length = 1.0 + self.long_job_share * 9.0;
+        self.load * self.engines as f64 * f64::from(SLOTS) / (MEAN_JOB_MS * mean_length)
     }
 
-    /// How much more than usual `account` sends at `now_ms`.
-    pub(crate) fn factor(&self, account: usize, now_ms: u64) -> f64 {
+    /// Returns the factor on the usual request rate of `account` at `now_ms`.
+    pub(crate) fn rate_factor(&self, account: usize, now_ms: u64) -> f64 {
         match self.surge {
             Some(s) if (s.from_ms..s.to_ms).contains(&now_ms) => {
                 if s.largest_only && account > 0 {
@@ -133,20 +134,20 @@
     }
 }
 
-/// One caller's request, through all its tries.
+/// A caller's request, including its retries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub(crate) account: usize,
     pub(crate) chat: usize,
     pub(crate) prompt: u32,
     pub(crate) output: u32,
-    pub(crate) guessed_output: u32,
-    /// The part of the prompt that an earlier answer has covered.
-    pub(crate) returning: u32,
-    pub(crate) asked_ms: u64,
-    pub(crate) offered_ms: u64,
-    pub(crate) tries: u32,
-    /// Its engine went: it is placed anew.
+    pub(crate) estimated_output: u32,
+    /// Tokens of the prompt that an earlier request of the chat has already processed.
+    pub(crate) history_tokens: u32,
+    pub(crate) first_sent_ms: u64,
+    pub(crate) sent_ms: u64,
+    pub(crate) retries: u32,
+    /// Whether its engine was removed and the request placed again.
     pub(crate) displaced: bool,
     pub(crate) import_ms: f64,
 }
@@ -156,24 +157,24 @@
     pub(crate) key: ChatKey,
     pub(crate) account: usize,
     pub(crate) context: u32,
-    /// The router its caller uses.
+    /// Index of the router that its caller uses.
     pub(crate) entry: usize,
 }
 
-/// What an engine really has, whatever its home believes.
+/// Actual state of an engine, independent of its home's estimate.
 pub(crate) struct Engine {
     pub(crate) alive: bool,
-    pub(crate) born_ms: u64,
-    pub(crate) slow: f64,
+    pub(crate) joined_ms: u64,
+    pub(crate) slowdown: f64,
     pub(crate) cache: LruCache<u32>,
 }
 
 impl Engine {
-    pub(crate) fn new(born_ms: u64, slow: f64) -> Self {
+    pub(crate) fn new(joined_ms: u64, slowdown: f64) -> Self {
         Self {
             alive: true,
-            born_ms,
-            slow,
+            joined_ms,
+            slowdown,
             cache: LruCache::new(CACHE_TOKENS),
         }
     }
@@ -197,20 +198,20 @@
     log_normal(rng, 6.6, 1.0) as u32 + 1
 }
 
-pub(crate) fn output(rng: &mut SmallRng, long_jobs: f64) -> u32 {
+pub(crate) fn output(rng: &mut SmallRng, long_job_share: f64) -> u32 {
     let usual = log_normal(rng, 4.5, 0.8).min(1_500.0) as u32 + 1;
-    if long_jobs > 0.0 && rng.random_bool(long_jobs) {
+    if long_job_share > 0.0 && rng.random_bool(long_job_share) {
         return usual * 10;
     }
     usual
 }
 
-pub(crate) fn guess(rng: &mut SmallRng, output: u32, sigma: f64) -> u32 {
+pub(crate) fn estimate_output(rng: &mut SmallRng, output: u32, sigma: f64) -> u32 {
     (f64::from(output) * (sigma * normal(rng)).exp()) as u32 + 1
 }
 
-/// The pause before a chat returns, if it does.
-pub(crate) fn pause_ms(rng: &mut SmallRng, context: u32) -> Option<u64> {
-    let pause_ms = 1_000.0 * log_normal(rng, 3.4, 1.2);
-    (rng.random_bool(RETURN_SHARE) && context < MAX_CONTEXT).then_some(pause_ms as u64)
+/// Returns the delay before the next request of a chat, or `None` if the chat ends.
+pub(crate) fn think_time_ms(rng: &mut SmallRng, context: u32) -> Option<u64> {
+    let think_time_ms = 1_000.0 * log_normal(rng, 3.4, 1.2);
+    (rng.random_bool(RETURN_SHARE) && context < MAX_CONTEXT).then_some(think_time_ms as u64)
 }
--- a/benches/policies/sim/outcome.rs
+++ b/benches/policies/sim/outcome.rs
@@ -1,25 +1,25 @@
-//! What callers received, and how level the engines were.
+//! Results of a run: answers, waits, cache reuse and load skew.
 
 use super::model::SMALL_FROM;
 
-/// What callers received.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    pub(crate) reused: f64,
-    pub(crate) returning: f64,
+    pub(crate) reused_tokens: f64,
+    pub(crate) history_tokens: f64,
     pub(crate) skews: Vec<f64>,
-    /// The busiest engine's work over its bound of 1.25 x mean plus one (mean) job, at its worst.
+    /// Samples in which the busiest engine exceeded 1.25 x the mean work plus one job.
     pub(crate) over_bound: u32,
     pub(crate) answered: u64,
     pub(crate) good: u64,
     pub(crate) late: u64,
-    pub(crate) given_up: u64,
+    pub(crate) abandoned: u64,
     pub(crate) refusals: u64,
     pub(crate) refused_at_once: u64,
-    /// Waits and times to answer, by account, of requests that came first in the measured time.
+    /// Waits and answer times by account, of requests first sent after the warm-up.
     pub(crate) waits_ms: Vec<Vec<f64>>,
     pub(crate) answers_ms: Vec<Vec<f64>>,
-    /// When a small account's job started, and how long it had waited.
+    /// Start time and wait of each job of a small account.
     pub(crate) small_waits: Vec<(u64, f64)>,
     pub(crate) short_waits_ms: Vec<f64>,
     pub(crate) good_by_s: Vec<u32>,
@@ -27,10 +27,10 @@
 
 impl Outcome {
     pub(crate) fn reuse(&self) -> f64 {
-        self.reused / self.returning.max(1.0)
+        self.reused_tokens / self.history_tokens.max(1.0)
     }
 
-    /// Lays another run's outcome to this one.
+    /// Adds the waits, answer times and refusal counts of `other`.
     pub(crate) fn merge(&mut self, other: Self) {
         self.refusals += other.refusals;
         self.refused_at_once += other.refused_at_once;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The `share` quantile of `values`.
+/// Returns the `share` quantile of `values`, or 0 if there are none.
 pub(crate) fn quantile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/benches/policies/tables.rs
+++ b/benches/policies/tables.rs
@@ -1,9 +1,9 @@
-//! The tables of issue 4 and their goals. Each returns the goals that were missed.
+//! Result tables and their goals. Each function with goals returns those that were missed.
 
 use crate::sim::model::{Policy, SMALL_FROM, Setup, Surge};
 use crate::sim::{Outcome, quantile, run};
 
-const SHAPES: [(&str, usize); 2] = [("12 runners", 12), ("18 runners", 18)];
+const POOLS: [(&str, usize); 2] = [("12 engines", 12), ("18 engines", 18)];
 const BASELINES: [Policy; 4] = [
     Policy::Random,
     Policy::RoundRobin,
@@ -11,21 +11,21 @@
     Policy::Hash,
 ];
 
-/// Notes a goal that wasn't met.
-fn judge(missed: &mut Vec<String>, goal: &str, met: bool) -> &'static str {
+/// Adds `goal` to `missed` if it was not met, and returns its label.
+fn check_goal(missed: &mut Vec<String>, goal: &str, met: bool) -> &'static str {
     if !met {
         missed.push(goal.to_owned());
     }
     if met { "met" } else { "MISSED" }
 }
 
-fn all(of: &[Vec<f64>]) -> Vec<f64> {
+fn flatten(of: &[Vec<f64>]) -> Vec<f64> {
     of.iter().flatten().copied().collect()
 }
 
-fn row(name: &str, out: &Outcome) {
+fn print_row(name: &str, out: &Outcome) {
     let most = out.skews.iter().copied().fold(0.0, f64::max);
-    let waits = all(&out.waits_ms);
+    let waits = flatten(&out.waits_ms);
     println!(
         "  {name:<34} reuse {:.3}  skew p50 {:.2} p99 {:.2} max {most:.2}  over bound {:>3}/{}  wait p50 {:.0} p99 {:.0} ms  n {}",
         out.reuse(),
@@ -48,10 +48,10 @@
     }
 }
 
-/// Cache reuse and skew, steady and through churn.
+/// Cache reuse and load skew, with and without churn.
 pub(crate) fn reuse() -> Vec<String> {
     let mut missed = Vec::new();
-    for (shape, engines) in SHAPES {
+    for (shape, engines) in POOLS {
         for load in [0.5, 0.8] {
             println!("\n== {shape}, load {load}, no churn");
             let setup = Setup {
@@ -62,42 +62,42 @@
             let mut hash = 0.0;
             for policy in BASELINES {
                 let out = run(&baseline(&setup, policy));
-                row(&format!("{policy:?}"), &out);
+                print_row(&format!("{policy:?}"), &out);
                 hash = out.reuse();
             }
             let out = run(&setup);
-            row("Ours", &out);
+            print_row("Ours", &out);
             let goal = format!(
                 "{shape}, load {load}: reuse {:.3} >= 0.95 x {hash:.3}",
                 out.reuse()
             );
             println!(
                 "  {goal}: {}",
-                judge(&mut missed, &goal, out.reuse() >= 0.95 * hash)
+                check_goal(&mut missed, &goal, out.reuse() >= 0.95 * hash)
             );
-            skew_goal(&mut missed, &format!("{shape}, load {load}"), &out);
-            row(
+            check_skew(&mut missed, &format!("{shape}, load {load}"), &out);
+            print_row(
                 "Ours, 1 in 5 reports lost",
                 &run(&Setup {
-                    lost: 0.2,
+                    report_loss: 0.2,
                     ..setup.clone()
                 }),
             );
-            row(
+            print_row(
                 "Ours, reports 3 s old",
                 &run(&Setup {
-                    stale_ms: 3_000,
+                    report_interval_ms: 3_000,
                     ..setup.clone()
                 }),
             );
-            row(
-                "Ours, lengths guessed (sigma 0.5)",
+            print_row(
+                "Ours, lengths estimated (sigma 0.5)",
                 &run(&Setup {
-                    guess: 0.5,
+                    estimate_sigma: 0.5,
                     ..setup.clone()
                 }),
             );
-            row(
+            print_row(
                 "Ours, no KV import",
                 &run(&Setup {
                     import: false,
@@ -115,21 +115,21 @@
         let mut hash = 0.0;
         for policy in BASELINES {
             let out = run(&baseline(&setup, policy));
-            row(&format!("{policy:?}"), &out);
+            print_row(&format!("{policy:?}"), &out);
             hash = out.reuse();
         }
         let out = run(&setup);
-        row("Ours", &out);
+        print_row("Ours", &out);
         let goal = format!("{shape}, churn: reuse {:.3} > {hash:.3}", out.reuse());
         println!(
             "  {goal}: {}",
-            judge(&mut missed, &goal, out.reuse() > hash)
+            check_goal(&mut missed, &goal, out.reuse() > hash)
         );
-        skew_goal(&mut missed, &format!("{shape}, churn"), &out);
-        row(
-            "Ours, planned leave: KV handed on",
+        check_skew(&mut missed, &format!("{shape}, churn"), &out);
+        print_row(
+            "Ours, planned leave: KV transferred",
             &run(&Setup {
-                planned: true,
+                planned_leave: true,
                 ..setup
             }),
         );
@@ -137,22 +137,25 @@
     missed
 }
 
-fn skew_goal(missed: &mut Vec<String>, name: &str, out: &Outcome) {
+fn check_skew(missed: &mut Vec<String>, name: &str, out: &Outcome) {
     let p99 = quantile(&out.skews, 0.99);
     let goal = format!("{name}: skew p99 {p99:.3} <= 1.25");
-    println!("  {goal}: {}", judge(missed, &goal, p99 <= 1.25));
+    println!("  {goal}: {}", check_goal(missed, &goal, p99 <= 1.25));
     let goal = format!(
         "{name}: over 1.25 x mean + one job in {} samples",
         out.over_bound
     );
-    println!("  {goal}: {}", judge(missed, &goal, out.over_bound == 0));
+    println!(
+        "  {goal}: {}",
+        check_goal(missed, &goal, out.over_bound == 0)
+    );
 }
 
 /// Goodput under sustained overload.
 pub(crate) fn overload() -> Vec<String> {
     let mut missed = Vec::new();
-    for (shape, engines) in SHAPES {
-        println!("\n== {shape}, sustained overload (answers by the caller's deadline, a second)");
+    for (shape, engines) in POOLS {
+        println!("\n== {shape}, sustained overload (answers per second by the caller's deadline)");
         let mut at_one = 0.0;
         for load in [1.0, 1.5, 3.0] {
             let setup = Setup {
@@ -170,9 +173,9 @@
                 let good = out.good as f64 / secs;
                 let at_once = out.refused_at_once as f64 / out.refusals.max(1) as f64;
                 println!(
-                    "  {load}x {name:<17} good {good:>6.1}/s  late {:>6}  given up {:>6}  refusals {:>7}  at once {at_once:.3}  reuse {:.3}  small p50/p99 {:.1}/{:.1} s  largest {:.1}/{:.1} s",
+                    "  {load}x {name:<17} good {good:>6.1}/s  late {:>6}  abandoned {:>6}  refusals {:>7}  at once {at_once:.3}  reuse {:.3}  small p50/p99 {:.1}/{:.1} s  largest {:.1}/{:.1} s",
                     out.late,
-                    out.given_up,
+                    out.abandoned,
                     out.refusals,
                     out.reuse(),
                     quantile(&out.small(&out.waits_ms), 0.5) / 1e3,
@@ -187,7 +190,7 @@
                     let goal = format!("{shape}: goodput at 3x {good:.1} >= 0.95 x {at_one:.1}");
                     println!(
                         "  {goal}: {}",
-                        judge(&mut missed, &goal, good >= 0.95 * at_one)
+                        check_goal(&mut missed, &goal, good >= 0.95 * at_one)
                     );
                 }
             }
@@ -196,25 +199,25 @@
     missed
 }
 
-/// Seeds that are laid together where single accounts are judged: the smallest sends one request a
-/// second, so that the p99 of one run is its tenth slowest.
+/// Runs merged for goals of single accounts: the smallest sends one request per second, so the p99
+/// of a single run would be its tenth slowest request.
 const SEEDS: u64 = 5;
 
 fn run_seeds(setup: &Setup) -> Outcome {
-    let mut all = Outcome::default();
+    let mut merged = Outcome::default();
     for seed in 1..=SEEDS {
-        all.merge(run(&Setup {
+        merged.merge(run(&Setup {
             seed,
             ..setup.clone()
         }));
     }
-    all
+    merged
 }
 
-/// The largest account at ten times its usual rate.
+/// The largest account sends at ten times its usual rate.
 pub(crate) fn surge() -> Vec<String> {
     let mut missed = Vec::new();
-    for (shape, engines) in SHAPES {
+    for (shape, engines) in POOLS {
         println!(
             "\n== {shape}, load 0.6, largest account at 10x from 300 s to 600 s, {SEEDS} seeds"
         );
@@ -241,30 +244,34 @@
         ] {
             let out = run_seeds(&setup);
             println!(
-                "  {name}: refusals {}  at once {:.3}  fair after {} s",
+                "  {name}: refusals {}  at once {:.3}  recovered after {} s",
                 out.refusals,
                 out.refused_at_once as f64 / out.refusals.max(1) as f64,
-                fair_after_s(&out, 300_000)
+                recovery_s(&out, 300_000)
             );
-            by_account(&out, &calm);
+            print_accounts(&out, &calm);
             if name == "on" {
-                small_goals(&mut missed, shape, &out, &calm);
+                check_small_accounts(&mut missed, shape, &out, &calm);
             }
         }
     }
     missed
 }
 
-fn small_goals(missed: &mut Vec<String>, shape: &str, out: &Outcome, calm: &Outcome) {
+fn check_small_accounts(missed: &mut Vec<String>, shape: &str, out: &Outcome, calm: &Outcome) {
     for account in SMALL_FROM..out.answers_ms.len() {
         let p99 = quantile(&out.answers_ms[account], 0.99) / 1e3;
-        let was = quantile(&calm.answers_ms[account], 0.99) / 1e3;
-        let goal = format!("{shape}: account {account} p99 answer {p99:.1} s <= 1.2 x {was:.1} s");
-        println!("  {goal}: {}", judge(missed, &goal, p99 <= 1.2 * was));
+        let calm_p99 = quantile(&calm.answers_ms[account], 0.99) / 1e3;
+        let goal =
+            format!("{shape}: account {account} p99 answer {p99:.1} s <= 1.2 x {calm_p99:.1} s");
+        println!(
+            "  {goal}: {}",
+            check_goal(missed, &goal, p99 <= 1.2 * calm_p99)
+        );
     }
 }
 
-fn by_account(out: &Outcome, calm: &Outcome) {
+fn print_accounts(out: &Outcome, calm: &Outcome) {
     for account in [0, 1, 3, 7, 11] {
         println!(
             "    account {account:<2} wait p50/p99 {:>6.0}/{:>6.0} ms (calm {:.0}/{:.0})  answer p50/p99 {:.1}/{:.1} s (calm {:.1}/{:.1})",
@@ -280,9 +287,9 @@
     }
 }
 
-/// Seconds from the surge to the end of the last five-second window in which the median wait of
-/// small accounts is over half a second.
-fn fair_after_s(out: &Outcome, from_ms: u64) -> u64 {
+/// Returns the seconds from the start of the surge to the end of the last five-second window in
+/// which the median wait of small accounts exceeds 500 ms.
+fn recovery_s(out: &Outcome, from_ms: u64) -> u64 {
     let mut windows = std::collections::BTreeMap::<u64, Vec<f64>>::new();
     for (at_ms, wait_ms) in &out.small_waits {
         if (from_ms..from_ms + 300_000).contains(at_ms) {
@@ -294,7 +301,7 @@
     unfair.map(|(at, _)| (at + 1) * 5).max().unwrap_or(0)
 }
 
-/// The other load patterns, with the module off and on.
+/// The remaining load patterns, with admission control off and on.
 pub(crate) fn patterns() {
     let base = Setup {
         load: 0.7,
@@ -316,29 +323,29 @@
             },
         ),
         (
-            "hot chat: a fifth of the requests",
+            "hot chat: 1 in 5 requests",
             Setup {
-                hot_chat: 0.2,
+                hot_chat_share: 0.2,
                 ..base.clone()
             },
         ),
         (
             "slow engine: one takes 4x as long",
             Setup {
-                slow: 4.0,
+                slowdown: 4.0,
                 load: 0.6,
                 ..base.clone()
             },
         ),
         (
-            "long among short: 1 in 20 is 10x",
+            "mixed lengths: 1 in 20 is 10x",
             Setup {
-                long_jobs: 0.05,
+                long_job_share: 0.05,
                 ..base.clone()
             },
         ),
     ];
-    println!("\n== patterns, 18 runners: off (hash, FIFO), then on");
+    println!("\n== patterns, 18 engines: off (hash, FIFO), then on");
     for (name, setup) in cases {
         println!(" {name}");
         for (mode, setup) in [
@@ -346,12 +353,12 @@
             ("on", setup.clone()),
         ] {
             let out = run(&setup);
-            row(mode, &out);
+            print_row(mode, &out);
             println!(
-                "     good {}  late {}  given up {}  p99 wait: short jobs {:.1} s, small accounts {:.1} s",
+                "     good {}  late {}  abandoned {}  p99 wait: short jobs {:.1} s, small accounts {:.1} s",
                 out.good,
                 out.late,
-                out.given_up,
+                out.abandoned,
                 quantile(&out.short_waits_ms, 0.99) / 1e3,
                 quantile(&out.small(&out.waits_ms), 0.99) / 1e3,
             );
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -85,7 +85,7 @@
 #[test]
 fn hot_key_spreads_over_engines() {
     let setup = Setup {
-        hot_chat: 0.3,
+        hot_chat_share: 0.3,
         ..BASE
     };
     let (off, on) = (off(&setup), run(&setup));
@@ -99,7 +99,10 @@
 /// By work in flight it is as full as the others with a quarter of the jobs, so it gets fewer.
 #[test]
 fn slow_engine_gets_less() {
-    let setup = Setup { slow: 4.0, ..BASE };
+    let setup = Setup {
+        slowdown: 4.0,
+        ..BASE
+    };
     let (off, on) = (off(&setup), run(&setup));
     let p99 = |out: &Outcome| quantile(&out.waits_ms.concat(), 0.99) / 1e3;
     assert!(p99(&off) > 20.0, "off: {} s", p99(&off));
@@ -111,7 +114,7 @@
 #[test]
 fn short_jobs_pass_long_ones() {
     let setup = Setup {
-        long_jobs: 0.05,
+        long_job_share: 0.05,
         load: 0.8,
         ..BASE
     };
@@ -166,7 +169,7 @@
 #[test]
 fn stale_and_missing_reports_keep_the_bound() {
     let on = run(&Setup {
-        lost: 0.2,
+        report_loss: 0.2,
         load: 0.8,
         ..BASE
     });
