--- a/benches/fleet/cost.rs
+++ b/benches/fleet/cost.rs
@@ -79,8 +79,8 @@
         } else {
             0.0
         };
-        let at = mean_y + slope * (390.0 - mean_x);
-        println!("{what}: {slope:+.4} {unit} per router, at 390 routers {at:.2} {unit}");
+        let estimate = mean_y + slope * (390.0 - mean_x);
+        println!("{what}: {slope:+.4} {unit} per router, at 390 routers {estimate:.2} {unit}");
     };
     println!();
     print_fit("sent", "B/s", |r| r.sent_per_s);
--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -25,20 +25,20 @@
         .map(String::as_str)
         .filter(|a| a.parse::<u8>().is_err())
         .collect();
-    let wanted = |part: &str| parts.is_empty() || parts.contains(&part);
-    if wanted("model") {
+    let selected = |part: &str| parts.is_empty() || parts.contains(&part);
+    if selected("model") {
         model::print();
     }
-    if wanted("cost") {
-        let given: Vec<u8> = args.iter().filter_map(|a| a.parse().ok()).collect();
-        let sizes = if given.is_empty() {
+    if selected("cost") {
+        let sizes_arg: Vec<u8> = args.iter().filter_map(|a| a.parse().ok()).collect();
+        let sizes = if sizes_arg.is_empty() {
             &SIZES[..]
         } else {
-            &given[..]
+            &sizes_arg[..]
         };
         cost::print(sizes).await;
     }
-    if wanted("stops") {
+    if selected("stops") {
         stops::print().await;
     }
 }
--- a/benches/fleet/stops.rs
+++ b/benches/fleet/stops.rs
@@ -225,9 +225,9 @@
     match answer {
         None => "no connection".to_owned(),
         Some(a) if a.status == 200 => {
-            let end: String = a.body.chars().rev().take(120).collect();
-            let end: String = end.chars().rev().collect();
-            format!("answer incomplete or wrong, ends with {end:?}")
+            let tail: String = a.body.chars().rev().take(120).collect();
+            let tail: String = tail.chars().rev().collect();
+            format!("answer incomplete or wrong, ends with {tail:?}")
         }
         Some(a) => format!("status {}: {}", a.status, a.body),
     }
--- a/benches/log.rs
+++ b/benches/log.rs
@@ -28,7 +28,7 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-const RUN: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 const RETENTION_MS: u64 = 86_400_000;
 const ROUTERS: u64 = 9;
 const CHANGES: u64 = 40;
@@ -106,18 +106,18 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let start = Instant::now();
     let mut due = Duration::ZERO;
-    while due < RUN {
+    while due < RUN_TIME {
         let gap_s = -rng.random_range(f64::EPSILON..1.0_f64).ln() / f64::from(per_s);
         due += Duration::from_secs_f64(gap_s);
         compio::time::sleep(due.saturating_sub(start.elapsed())).await;
-        compio::runtime::spawn(request(claimant.clone(), added_us.clone())).detach();
+        compio::runtime::spawn(run_request(claimant.clone(), added_us.clone())).detach();
     }
     let appends = append_count(&platform).await?;
     let bytes = read_bytes.get() / usize::try_from(ROUTERS)?;
     let seconds = start.elapsed().as_secs_f64();
     let mut added_us = added_us.take();
     added_us.sort_unstable();
-    let at = |share: f64| ms(&added_us, share);
+    let at = |share: f64| quantile_ms(&added_us, share);
     println!(
         "{per_s:>10}  {delay_ms:>6}  {window_ms:>9}  {:>9.0}  {:>12.1}  {:>5.1}  {:>5.1}  {:>9.0}",
         f64::from(appends) / seconds,
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-async fn request(claimant: Claimant, added_us: Rc<RefCell<Vec<u128>>>) {
+async fn run_request(claimant: Claimant, added_us: Rc<RefCell<Vec<u128>>>) {
     let key = Uuid::now_v7();
     let claim = slot::mint(&format!("acme/{key}"), "router-1", 1, 60_000);
     let start = Instant::now();
@@ -158,7 +158,7 @@
     let mut healthy_us = Vec::new();
     for i in 0..CHANGES {
         let accepted = apply(&mut operators, i).await?;
-        healthy_us.push(wait_in_force(&mut operators, accepted).await?);
+        healthy_us.push(wait_until_applied(&mut operators, accepted).await?);
     }
     report("healthy", &mut healthy_us);
     set_knobs(&platform, r#"{"outage":true}"#).await?;
@@ -172,10 +172,10 @@
         }
     };
     let accept_delay = outage_end.elapsed();
-    let mut after_us = vec![wait_in_force(&mut operators, accepted).await?];
+    let mut after_us = vec![wait_until_applied(&mut operators, accepted).await?];
     for i in 0..CHANGES / 2 {
         let accepted = apply(&mut operators, CHANGES + 1 + i).await?;
-        after_us.push(wait_in_force(&mut operators, accepted).await?);
+        after_us.push(wait_until_applied(&mut operators, accepted).await?);
     }
     println!(
         "after an outage of {outage_s} s: first change accepted {} ms after its end",
@@ -188,10 +188,10 @@
 fn report(name: &str, us: &mut [u128]) {
     us.sort_unstable();
     println!(
-        "accepted to in force on {ROUTERS} routers, {name}: {} changes, p50 {:.0} ms, max {:.0} ms",
+        "time from acceptance to application on {ROUTERS} routers, {name}: {} changes, p50 {:.0} ms, max {:.0} ms",
         us.len(),
-        ms(us, 0.5),
-        ms(us, 1.0)
+        quantile_ms(us, 0.5),
+        quantile_ms(us, 1.0)
     );
 }
 
@@ -217,7 +217,7 @@
 }
 
 /// Waits until every router has `version`, and returns the time from the call in microseconds.
-async fn wait_in_force(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
+async fn wait_until_applied(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
     let start = Instant::now();
     for operator in operators {
         while operator.config().await?.version < version {
@@ -260,7 +260,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-fn ms(sorted_us: &[u128], share: f64) -> f64 {
+fn quantile_ms(sorted_us: &[u128], share: f64) -> f64 {
     let last = sorted_us.len().saturating_sub(1);
     let at = (last as f64 * share).round() as usize;
     sorted_us.get(at).map_or(0.0, |us| *us as f64 / 1_000.0)
--- a/benches/path/load.rs
+++ b/benches/path/load.rs
@@ -64,18 +64,18 @@
     kind: &RequestKind,
     callers: u32,
     threads: u32,
-    length: Duration,
+    duration: Duration,
 ) -> Result<LoadResult, BoxError> {
     let url = fleet.url(kind, Route::Router);
     let start = Instant::now();
     let counts = std::thread::scope(|scope| {
         let spawn = |_| {
             let (url, key, body) = (&url, fleet.account_key(), &kind.body);
-            scope.spawn(move || run_callers(url, key, body, callers / threads, length))
+            scope.spawn(move || run_callers(url, key, body, callers / threads, duration))
         };
         let running: Vec<_> = (0..threads).map(spawn).collect();
-        let ended = running.into_iter().map(|t| t.join());
-        ended.collect::<Result<Vec<LoadResult>, _>>()
+        let results = running.into_iter().map(|t| t.join());
+        results.collect::<Result<Vec<LoadResult>, _>>()
     });
     let counts = counts.map_err(|_| "a caller thread panicked")?;
     Ok(LoadResult {
@@ -85,12 +85,12 @@
     })
 }
 
-fn run_callers(url: &str, key: &str, body: &str, callers: u32, length: Duration) -> LoadResult {
+fn run_callers(url: &str, key: &str, body: &str, callers: u32, duration: Duration) -> LoadResult {
     let result = Rc::new(Cell::new(LoadResult::default()));
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let client = cyper::Client::new().unwrap();
-        let end = Instant::now() + length;
+        let end = Instant::now() + duration;
         let caller = |_| async {
             while Instant::now() < end {
                 let answered = send_request(&client, url, key, body).await.is_ok();
--- a/benches/path/main.rs
+++ b/benches/path/main.rs
@@ -21,7 +21,7 @@
 /// Callers of the throughput run, and the threads that they share.
 const CALLERS: u32 = 64;
 const CALLER_THREADS: u32 = 4;
-const LOAD: Duration = Duration::from_secs(4);
+const LOAD_TIME: Duration = Duration::from_secs(4);
 
 const ROUTES: [Route; 3] = [Route::Direct, Route::Router, Route::Hop];
 const PERCENTILES: [f64; 2] = [50.0, 99.0];
@@ -39,7 +39,7 @@
     eprintln!();
     eprintln!("throughput: {CALLERS} callers, one router, which is the home of its upstreams");
     for kind in fleet.request_kinds() {
-        throughput(&fleet, &kind, LOAD / share)?;
+        throughput(&fleet, &kind, LOAD_TIME / share)?;
     }
     Ok(())
 }
@@ -78,9 +78,13 @@
     Ok(())
 }
 
-fn throughput(fleet: &Fleet, kind: &fleet::RequestKind, length: Duration) -> Result<(), BoxError> {
+fn throughput(
+    fleet: &Fleet,
+    kind: &fleet::RequestKind,
+    duration: Duration,
+) -> Result<(), BoxError> {
     let cpu_before = fleet.home_cpu();
-    let result = load::generate_load(fleet, kind, CALLERS, CALLER_THREADS, length)?;
+    let result = load::generate_load(fleet, kind, CALLERS, CALLER_THREADS, duration)?;
     let cpu = fleet.home_cpu() - cpu_before;
     let per_request_us = cpu.as_secs_f64() * 1e6 / f64::from(result.answered);
     eprintln!(
--- a/benches/policies/main.rs
+++ b/benches/policies/main.rs
@@ -15,21 +15,21 @@
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let wanted = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
+    let selected = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
     let mut missed = Vec::new();
-    if wanted("reuse") {
+    if selected("reuse") {
         missed.extend(tables::reuse());
     }
-    if wanted("overload") {
+    if selected("overload") {
         missed.extend(tables::overload());
     }
-    if wanted("surge") {
+    if selected("surge") {
         missed.extend(tables::surge());
     }
-    if wanted("patterns") {
+    if selected("patterns") {
         tables::patterns();
     }
-    if wanted("cost") {
+    if selected("cost") {
         cost::print();
     }
     println!("\ngoals missed: {}", missed.len());
--- a/benches/policies/sim/mod.rs
+++ b/benches/policies/sim/mod.rs
@@ -207,20 +207,20 @@
     }
 
     fn sample(&mut self) {
-        let quiet = self.now_ms > self.changed_ms + SETTLE_MS;
-        if self.now_ms > WARM_UP_MS && quiet {
+        let settled = self.now_ms > self.changed_ms + SETTLE_MS;
+        if self.now_ms > WARM_UP_MS && settled {
             let work = self.alive.iter().map(|e| self.homes[*e].work_ms());
             let work: Vec<f64> = work.collect();
             let mean_work_ms = work.iter().sum::<f64>() / work.len() as f64;
-            let (busiest, most_ms) = work
+            let (busiest, max_work_ms) = work
                 .iter()
                 .copied()
                 .enumerate()
                 .fold((0, 0.0), |a, b| if b.1 > a.1 { b } else { a });
             if mean_work_ms > 0.0 {
-                self.out.skews.push(most_ms / mean_work_ms);
+                self.out.skews.push(max_work_ms / mean_work_ms);
                 let bound_ms = 1.25 * mean_work_ms + self.largest_job_ms(self.alive[busiest]);
-                self.out.over_bound += u32::from(most_ms > bound_ms);
+                self.out.over_bound += u32::from(max_work_ms > bound_ms);
             }
         }
         self.push(self.now_ms + 1_000, Event::Sample);
--- a/benches/policies/sim/model.rs
+++ b/benches/policies/sim/model.rs
@@ -115,8 +115,8 @@
 
 impl Setup {
     pub(crate) fn rate_per_ms(&self) -> f64 {
-        let mean_length = 1.0 + self.long_job_share * 9.0;
-        self.load * self.engines as f64 * f64::from(SLOTS) / (MEAN_JOB_MS * mean_length)
+        let length_factor = 1.0 + self.long_job_share * 9.0;
+        self.load * self.engines as f64 * f64::from(SLOTS) / (MEAN_JOB_MS * length_factor)
     }
 
     /// Returns the factor on the usual request rate of `account` at `now_ms`.
--- a/benches/policies/sim/outcome.rs
+++ b/benches/policies/sim/outcome.rs
@@ -8,7 +8,7 @@
     pub(crate) reused_tokens: f64,
     pub(crate) history_tokens: f64,
     pub(crate) skews: Vec<f64>,
-    /// Samples in which the busiest engine exceeded 1.25 x the mean work plus one job.
+    /// Samples in which the busiest engine exceeded 1.25 x the mean work plus its largest job.
     pub(crate) over_bound: u32,
     pub(crate) answered: u64,
     pub(crate) good: u64,
--- a/benches/policies/tables.rs
+++ b/benches/policies/tables.rs
@@ -24,10 +24,10 @@
 }
 
 fn print_row(name: &str, out: &Outcome) {
-    let most = out.skews.iter().copied().fold(0.0, f64::max);
+    let max_skew = out.skews.iter().copied().fold(0.0, f64::max);
     let waits = flatten(&out.waits_ms);
     println!(
-        "  {name:<34} reuse {:.3}  skew p50 {:.2} p99 {:.2} max {most:.2}  over bound {:>3}/{}  wait p50 {:.0} p99 {:.0} ms  n {}",
+        "  {name:<34} reuse {:.3}  skew p50 {:.2} p99 {:.2} max {max_skew:.2}  over bound {:>3}/{}  wait p50 {:.0} p99 {:.0} ms  n {}",
         out.reuse(),
         quantile(&out.skews, 0.5),
         quantile(&out.skews, 0.99),
@@ -156,7 +156,7 @@
     let mut missed = Vec::new();
     for (shape, engines) in POOLS {
         println!("\n== {shape}, sustained overload (answers per second by the caller's deadline)");
-        let mut at_one = 0.0;
+        let mut goodput_at_1x = 0.0;
         for load in [1.0, 1.5, 3.0] {
             let setup = Setup {
                 engines,
@@ -184,13 +184,14 @@
                     quantile(&out.waits_ms[0], 0.99) / 1e3,
                 );
                 if name == "on" && load == 1.0 {
-                    at_one = good;
+                    goodput_at_1x = good;
                 }
                 if name == "on" && load == 3.0 {
-                    let goal = format!("{shape}: goodput at 3x {good:.1} >= 0.95 x {at_one:.1}");
+                    let goal =
+                        format!("{shape}: goodput at 3x {good:.1} >= 0.95 x {goodput_at_1x:.1}");
                     println!(
                         "  {goal}: {}",
-                        check_goal(&mut missed, &goal, good >= 0.95 * at_one)
+                        check_goal(&mut missed, &goal, good >= 0.95 * goodput_at_1x)
                     );
                 }
             }
@@ -221,7 +222,7 @@
         println!(
             "\n== {shape}, load 0.6, largest account at 10x from 300 s to 600 s, {SEEDS} seeds"
         );
-        let calm = Setup {
+        let no_surge = Setup {
             engines,
             load: 0.6,
             secs: 900,
@@ -235,9 +236,9 @@
         });
         let on = Setup {
             surge,
-            ..calm.clone()
+            ..no_surge.clone()
         };
-        let calm = run_seeds(&calm);
+        let no_surge = run_seeds(&no_surge);
         for (name, setup) in [
             ("off (hash, FIFO)", baseline(&on, Policy::Hash)),
             ("on", on),
@@ -249,40 +250,40 @@
                 out.refused_at_once as f64 / out.refusals.max(1) as f64,
                 recovery_s(&out, 300_000)
             );
-            print_accounts(&out, &calm);
+            print_accounts(&out, &no_surge);
             if name == "on" {
-                check_small_accounts(&mut missed, shape, &out, &calm);
+                check_small_accounts(&mut missed, shape, &out, &no_surge);
             }
         }
     }
     missed
 }
 
-fn check_small_accounts(missed: &mut Vec<String>, shape: &str, out: &Outcome, calm: &Outcome) {
+fn check_small_accounts(missed: &mut Vec<String>, shape: &str, out: &Outcome, no_surge: &Outcome) {
     for account in SMALL_FROM..out.answers_ms.len() {
         let p99 = quantile(&out.answers_ms[account], 0.99) / 1e3;
-        let calm_p99 = quantile(&calm.answers_ms[account], 0.99) / 1e3;
+        let base_p99 = quantile(&no_surge.answers_ms[account], 0.99) / 1e3;
         let goal =
-            format!("{shape}: account {account} p99 answer {p99:.1} s <= 1.2 x {calm_p99:.1} s");
+            format!("{shape}: account {account} p99 answer {p99:.1} s <= 1.2 x {base_p99:.1} s");
         println!(
             "  {goal}: {}",
-            check_goal(missed, &goal, p99 <= 1.2 * calm_p99)
+            check_goal(missed, &goal, p99 <= 1.2 * base_p99)
         );
     }
 }
 
-fn print_accounts(out: &Outcome, calm: &Outcome) {
+fn print_accounts(out: &Outcome, no_surge: &Outcome) {
     for account in [0, 1, 3, 7, 11] {
         println!(
-            "    account {account:<2} wait p50/p99 {:>6.0}/{:>6.0} ms (calm {:.0}/{:.0})  answer p50/p99 {:.1}/{:.1} s (calm {:.1}/{:.1})",
+            "    account {account:<2} wait p50/p99 {:>6.0}/{:>6.0} ms (no surge {:.0}/{:.0})  answer p50/p99 {:.1}/{:.1} s (no surge {:.1}/{:.1})",
             quantile(&out.waits_ms[account], 0.5),
             quantile(&out.waits_ms[account], 0.99),
-            quantile(&calm.waits_ms[account], 0.5),
-            quantile(&calm.waits_ms[account], 0.99),
+            quantile(&no_surge.waits_ms[account], 0.5),
+            quantile(&no_surge.waits_ms[account], 0.99),
             quantile(&out.answers_ms[account], 0.5) / 1e3,
             quantile(&out.answers_ms[account], 0.99) / 1e3,
-            quantile(&calm.answers_ms[account], 0.5) / 1e3,
-            quantile(&calm.answers_ms[account], 0.99) / 1e3,
+            quantile(&no_surge.answers_ms[account], 0.5) / 1e3,
+            quantile(&no_surge.answers_ms[account], 0.99) / 1e3,
         );
     }
 }
@@ -297,8 +298,8 @@
             window.push(*wait_ms);
         }
     }
-    let unfair = windows.iter().filter(|(_, w)| quantile(w, 0.5) > 500.0);
-    unfair.map(|(at, _)| (at + 1) * 5).max().unwrap_or(0)
+    let slow_windows = windows.iter().filter(|(_, w)| quantile(w, 0.5) > 500.0);
+    slow_windows.map(|(at, _)| (at + 1) * 5).max().unwrap_or(0)
 }
 
 /// The remaining load patterns, with admission control off and on.
