--- a/benches/log.rs
+++ b/benches/log.rs
@@ -135,7 +135,10 @@
     let start = Instant::now();
     let verdict = claimant.claim(claim.clone(), wall_ms()).await;
     added_us.borrow_mut().push(start.elapsed().as_micros());
-    assert!(matches!(verdict, Ok(Verdict::Won)), "{verdict:?}");
+    assert!(
+        matches!(verdict, Ok(Verdict::Won)),
+        "claim not won: {verdict:?}"
+    );
     let outcome = Outcome {
         id: claim.id,
         key: claim.key.clone(),
--- a/benches/path/fleet.rs
+++ b/benches/path/fleet.rs
@@ -258,7 +258,7 @@
         };
         let change = Some(change);
         let reply = caller.apply(ApplyRequest { change }).await?;
-        assert!(reply.accepted, "{reply:?}");
+        assert!(reply.accepted, "configuration change rejected: {reply:?}");
     }
     // Time for the other router to read the log and the host list.
     compio::time::sleep(Duration::from_secs(2)).await;
--- a/benches/path/load.rs
+++ b/benches/path/load.rs
@@ -50,8 +50,9 @@
         .bearer_auth(key)?
         .header("x-request-id", "bench")?;
     let response = request.body(body.to_owned()).send().await?;
-    if !response.status().is_success() {
-        return Err(response.text().await?.into());
+    let status = response.status();
+    if !status.is_success() {
+        return Err(format!("{url}: status {status}: {}", response.text().await?).into());
     }
     let headers = response.headers().clone();
     response.bytes().await?;
--- a/benches/policies/sim/routers.rs
+++ b/benches/policies/sim/routers.rs
@@ -115,7 +115,7 @@
         };
         let plan = self.pool.plan(chat, warm, &loads, policy);
         let candidates = plan.tries.into_iter().map(|at| self.alive[at]).collect();
-        let last = plan.last.expect("the pool is never empty");
+        let last = plan.last.expect("a pool with engines has a last choice");
         (candidates, self.alive[last])
     }
 
