--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -1,10 +1,9 @@
-//! What membership, homes and planned stops cost, over router processes on one machine:
+//! Cost of membership, homes and planned stops, with router processes on one machine:
 //! `cargo build --release --examples && cargo bench --bench fleet`.
 //!
-//! One part alone: `cargo bench --bench fleet -- PART` with `cost` (sizes may follow: `cost 9 20`),
-//! `stops` or `model`. The model runs the product's own membership over a small fake network on a
-//! virtual clock; the others start processes and read their figures from their metrics, their time
-//! line and the system.
+//! To run one part: `cargo bench --bench fleet -- PART`, where PART is `cost` (sizes may follow:
+//! `cost 9 20`), `stops` or `model`. The model runs the router's membership code over a simulated
+//! network on a virtual clock. The other parts start processes and read metrics, events and /proc.
 
 mod cost;
 mod model;
@@ -26,25 +25,25 @@
         .map(String::as_str)
         .filter(|a| a.parse::<u8>().is_err())
         .collect();
-    let wanted = |part: &str| parts.is_empty() || parts.contains(&part);
-    if wanted("model") {
+    let selected = |part: &str| parts.is_empty() || parts.contains(&part);
+    if selected("model") {
         model::print();
     }
-    if wanted("cost") {
-        let given: Vec<u8> = args.iter().filter_map(|a| a.parse().ok()).collect();
-        let sizes = if given.is_empty() {
+    if selected("cost") {
+        let sizes_arg: Vec<u8> = args.iter().filter_map(|a| a.parse().ok()).collect();
+        let sizes = if sizes_arg.is_empty() {
             &SIZES[..]
         } else {
-            &given[..]
+            &sizes_arg[..]
         };
         cost::print(sizes).await;
     }
-    if wanted("stops") {
+    if selected("stops") {
         stops::print().await;
     }
 }
 
-/// The value below which `share` of the sorted values lie.
+/// Returns the `share` quantile of sorted values, or 0 if there are none.
 fn quantile(sorted: &[u64], share: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
     #[allow(
--- a/benches/policies/main.rs
+++ b/benches/policies/main.rs
@@ -1,10 +1,10 @@
-//! Placement and admission measured on a virtual clock with fixed seeds, with the product's own
-//! decision modules and the usual policies beside them: `cargo bench --bench policies`.
+//! Compares the router's placement and admission with common baselines, on a virtual clock with
+//! fixed seeds: `cargo bench --bench policies`.
 //!
-//! Engines are modelled as slots and a least-recently-used prefix cache; everything else, from
-//! the order of a chat to the refusal, is the code that the router runs. Loads are seen as stale
-//! and as incomplete as gossip makes them. One part alone: `cargo bench --bench policies -- PART`
-//! with `reuse`, `overload`, `surge`, `patterns` or `cost`.
+//! An engine is modelled as slots and an LRU prefix cache. Engine order, queueing and refusals use
+//! the router's own decision modules. Load reports are delayed and lost as they are with gossip.
+//! To run one part: `cargo bench --bench policies -- PART`, where PART is `reuse`, `overload`,
+//! `surge`, `patterns` or `cost`.
 
 mod cost;
 mod sim;
@@ -15,21 +15,21 @@
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let wanted = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
+    let selected = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
     let mut missed = Vec::new();
-    if wanted("reuse") {
+    if selected("reuse") {
         missed.extend(tables::reuse());
     }
-    if wanted("overload") {
+    if selected("overload") {
         missed.extend(tables::overload());
     }
-    if wanted("surge") {
+    if selected("surge") {
         missed.extend(tables::surge());
     }
-    if wanted("patterns") {
+    if selected("patterns") {
         tables::patterns();
     }
-    if wanted("cost") {
+    if selected("cost") {
         cost::print();
     }
     println!("\ngoals missed: {}", missed.len());
