--- a/src/path/callers.rs
+++ b/src/path/callers.rs
@@ -41,7 +41,7 @@
     let full = Refused::not_run(
         Cause::ConnectionLimit,
         CONNECTION_LIMIT_RETRY_MS,
-        accept::FULL,
+        accept::CONNECTION_LIMIT_MESSAGE,
     );
     let serve = move |stream, permit| serve(stream, path.clone(), permit);
     compio::runtime::spawn(accept::run(listener, limits, full.raw::<D>(), serve)).detach();
--- a/src/serve/callers/mod.rs
+++ b/src/serve/callers/mod.rs
@@ -50,7 +50,7 @@
         let full = refusal::raw(&refuse::not_run(
             Cause::ConnectionLimit,
             FULL_RETRY_MS,
-            accept::FULL,
+            accept::CONNECTION_LIMIT_MESSAGE,
         ));
         let serve = move |stream, permit| serve(stream, ctx.clone(), requests.clone(), permit);
         compio::runtime::spawn(accept::run(listener, limits, full, serve)).detach();
