--- a/benches/fleet/model.rs
+++ b/benches/fleet/model.rs
@@ -44,16 +44,16 @@
     for run in 0..runs {
         let victim = net.rng.random_range(0..n);
         net.nodes[victim].up = false;
-        crashes.push(net.until(LIMIT_MS, |net| net.all_say(victim, MemberState::Dead)));
+        crashes.push(net.run_until(LIMIT_MS, |net| net.all_see(victim, MemberState::Dead)));
         net.replace(victim, 10_000 + 1_000 * run as u64);
-        net.until(LIMIT_MS, |net| net.all_say(victim, MemberState::Alive));
+        net.run_until(LIMIT_MS, |net| net.all_see(victim, MemberState::Alive));
         net.run(SETTLE_MS);
         let leaver = (victim + 1) % n;
         let now_ms = net.now_ms;
         net.nodes[leaver].swim.leave(now_ms);
-        leaves.push(net.until(LIMIT_MS, |net| net.all_say(leaver, MemberState::Leaving)));
+        leaves.push(net.run_until(LIMIT_MS, |net| net.all_see(leaver, MemberState::Leaving)));
         net.replace(leaver, 10_500 + 1_000 * run as u64);
-        net.until(LIMIT_MS, |net| net.all_say(leaver, MemberState::Alive));
+        net.run_until(LIMIT_MS, |net| net.all_see(leaver, MemberState::Alive));
     }
     crashes.sort_unstable();
     leaves.sort_unstable();
--- a/benches/fleet/stops.rs
+++ b/benches/fleet/stops.rs
@@ -202,7 +202,7 @@
         let answer = caller.chat(*addr, &body).await;
         if answer
             .as_ref()
-            .is_some_and(|a| a.status == 200 && a.whole && a.text() == wanted)
+            .is_some_and(|a| a.status == 200 && a.complete && a.text() == wanted)
         {
             let count = if tried == 0 {
                 &tally.first_try
--- a/examples/longrun/faults.rs
+++ b/examples/longrun/faults.rs
@@ -105,7 +105,7 @@
         Fault::FreezeEngine => {
             world.fleet.borrow().engines[engine].freeze();
             sleep_ms(ms).await;
-            world.fleet.borrow().engines[engine].wake();
+            world.fleet.borrow().engines[engine].unfreeze();
         }
         Fault::FlapEngine => {
             for _ in 0..3 {
@@ -189,7 +189,7 @@
     let from_ms = world.now_ms();
     world.fleet.borrow().routers[router].freeze();
     sleep_ms(ms).await;
-    world.fleet.borrow().routers[router].wake();
+    world.fleet.borrow().routers[router].unfreeze();
     let to_ms = world.now_ms();
     world
         .ledger
@@ -285,9 +285,9 @@
     if in_force_ms.is_some() {
         // Requests that were let in before may still be on their way over the last hop.
         sleep_ms(STEP_MS * 4).await;
-        let before = world.fleet.borrow().runs().at(&name);
+        let before = world.fleet.borrow().runs().count_at(&name);
         sleep_ms(LEAVE_WATCH_MS).await;
-        let after = world.fleet.borrow().runs().at(&name);
+        let after = world.fleet.borrow().runs().count_at(&name);
         let new_runs = after - before;
         world.ledger.borrow_mut().leaves.push(Leave {
             upstream: name,
@@ -349,12 +349,12 @@
     post(world.platform, "/knobs", "{}").await;
     for i in 0..world.engines.len() {
         relay(world, Kind::Engine, i, json!({})).await;
-        world.fleet.borrow().engines[i].wake();
+        world.fleet.borrow().engines[i].unfreeze();
     }
     restart_dead(world);
     for i in 0..world.callers.len() {
         relay(world, Kind::Platform, i, json!({})).await;
-        world.fleet.borrow().routers[i].wake();
+        world.fleet.borrow().routers[i].unfreeze();
         let dead = world.fleet.borrow_mut().routers[i].exited().is_some();
         if dead {
             restart_router(world, i);
--- a/examples/longrun/ledger.rs
+++ b/examples/longrun/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::support::Told;
+use crate::support::CallOutcome;
 
 /// What a request was.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -20,7 +20,7 @@
     pub(crate) request_id: String,
     /// Empty but for entries.
     pub(crate) key: String,
-    pub(crate) told: Told,
+    pub(crate) told: CallOutcome,
     /// What came belongs to the request.
     pub(crate) own_content: bool,
     /// An answer had begun.
--- a/examples/longrun/load.rs
+++ b/examples/longrun/load.rs
@@ -11,7 +11,7 @@
 
 use crate::ledger::{Outcome, What};
 use crate::support::{
-    ACCOUNT_KEY, Caller, LARGEST_KEY, Received, Told, account, apply_at, chat_body,
+    ACCOUNT_KEY, CallOutcome, Caller, LARGEST_KEY, Received, account, apply_at, chat_body,
     expected_answer, get, sleep_ms,
 };
 use crate::world::World;
@@ -81,12 +81,16 @@
     let received = compio::time::timeout(PATIENCE, call).await.ok().flatten();
     let began = received.is_some();
     let received = received.unwrap_or_default();
-    let told = if began { received.told() } else { Told::Cut };
+    let told = if began {
+        received.outcome()
+    } else {
+        CallOutcome::Cut
+    };
     let outcome = Outcome {
         what: request.what,
         request_id: received.header("x-request-id").to_owned(),
         key: request.key.to_owned(),
-        own_content: told != Told::Served || own(&received),
+        own_content: told != CallOutcome::Served || own(&received),
         told,
         began: began && received.status == 200,
         router,
@@ -109,7 +113,7 @@
     let first = call_once(world, caller, router, request, &own).await;
     let told = first.outcome.told.clone();
     world.ledger.borrow_mut().outcomes.push(first.outcome);
-    let Told::Refused {
+    let CallOutcome::Refused {
         retry_after_ms,
         cause,
         ..
--- a/examples/longrun/verdict.rs
+++ b/examples/longrun/verdict.rs
@@ -6,7 +6,7 @@
 use crate::Args;
 use crate::ledger::{Ledger, Outcome, What};
 use crate::support::{
-    ACCOUNT_KEY, Caller, OPERATOR_KEY, Runs, Told, chat_body, expected_answer, sleep_ms,
+    ACCOUNT_KEY, CallOutcome, Caller, OPERATOR_KEY, Runs, chat_body, expected_answer, sleep_ms,
 };
 use crate::world::World;
 use cassiagrade::serve::operator::OperatorCaller;
@@ -95,7 +95,10 @@
 }
 
 fn own_answers(ledger: &Ledger) -> Check {
-    let served = ledger.outcomes.iter().filter(|o| o.told == Told::Served);
+    let served = ledger
+        .outcomes
+        .iter()
+        .filter(|o| o.told == CallOutcome::Served);
     check("whole answers are the caller's own", served, |o| {
         (!o.own_content).then(|| format!("{o:?}"))
     })
@@ -114,7 +117,7 @@
 }
 
 fn told_not_run(outcome: &Outcome) -> bool {
-    matches!(&outcome.told, Told::Refused { run_state, .. } if run_state == "not_run")
+    matches!(&outcome.told, CallOutcome::Refused { run_state, .. } if run_state == "not_run")
 }
 
 fn at_most_once(ledger: &Ledger, runs: &Runs) -> Check {
@@ -129,7 +132,7 @@
         |o| {
             let ran = counts.get(o.key.as_str()).copied().unwrap_or(0);
             let untrue = match o.told {
-                Told::Served => ran != 1,
+                CallOutcome::Served => ran != 1,
                 _ if told_not_run(o) => ran > 0,
                 _ => ran > 1,
             };
@@ -167,7 +170,7 @@
             let there = o.router == stop.router && o.from_ms < stop.at_ms;
             there && o.to_ms >= stop.at_ms && o.to_ms <= end_ms + 1_000
         });
-        let cut = cut.filter(|o| o.began && o.told == Told::Cut && !disturbed(o));
+        let cut = cut.filter(|o| o.began && o.told == CallOutcome::Cut && !disturbed(o));
         broken.extend(cut.map(|o| format!("cut by the stop at {} ms: {o:?}", stop.at_ms)));
     }
     Check {
@@ -223,9 +226,9 @@
         let mut last = None;
         for _ in 0..RECOVERY_TRIES {
             let received = Caller::new(ACCOUNT_KEY).chat(addr, &body).await;
-            let told = received.as_ref().map(crate::support::Received::told);
+            let told = received.as_ref().map(crate::support::Received::outcome);
             let text = received.map(|r| r.text());
-            if told == Some(Told::Served) && text == Some(expected_answer(&prompt, 5)) {
+            if told == Some(CallOutcome::Served) && text == Some(expected_answer(&prompt, 5)) {
                 last = None;
                 break;
             }
@@ -253,7 +256,10 @@
     lines.push(format!("runs recorded by upstreams: {}", runs.all.len()));
     lines.push(refusals(ledger));
     let back: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.came_back).collect();
-    let served = back.iter().filter(|o| o.told == Told::Served).count();
+    let served = back
+        .iter()
+        .filter(|o| o.told == CallOutcome::Served)
+        .count();
     let share = percent(served, back.len());
     lines.push(format!(
         "came back at the told time: {}, served {share}",
@@ -272,9 +278,10 @@
 
 fn told_of(ledger: &Ledger, what: What) -> String {
     let outcomes: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.what == what).collect();
-    let count = |told: &dyn Fn(&Told) -> bool| outcomes.iter().filter(|o| told(&o.told)).count();
-    let served = count(&|t| *t == Told::Served);
-    let cut = count(&|t| *t == Told::Cut);
+    let count =
+        |told: &dyn Fn(&CallOutcome) -> bool| outcomes.iter().filter(|o| told(&o.told)).count();
+    let served = count(&|t| *t == CallOutcome::Served);
+    let cut = count(&|t| *t == CallOutcome::Cut);
     let refused = outcomes.len() - served - cut;
     let share = percent(served, outcomes.len());
     format!(
@@ -287,7 +294,7 @@
 fn refusals(ledger: &Ledger) -> String {
     let mut by_cause: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for outcome in &ledger.outcomes {
-        if let Told::Refused {
+        if let CallOutcome::Refused {
             cause, run_state, ..
         } = &outcome.told
         {
--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use crate::support::routed::{HOST, KEY, Routed, fresh_id};
+use crate::support::routed::{HOST, KEY, RoutedFleet, new_request_id};
 use crate::support::{Caller, Received, get, sleep_ms};
 
 /// Callers give up after this; it is also what they tell the router.
@@ -65,7 +65,7 @@
 }
 
 impl Callers {
-    pub(crate) fn spawn(routed: &Routed, count: u32, seed: u64) -> Self {
+    pub(crate) fn spawn(routed: &RoutedFleet, count: u32, seed: u64) -> Self {
         let callers = Self {
             stop: Rc::default(),
             told: Rc::default(),
@@ -162,7 +162,7 @@
         let asks = [Ask::Get, Ask::Ticket, Ask::Resumed, Ask::Once];
         let ask = asks[self.rng.random_range(0..asks.len())];
         let body = self.rng.random_range(2..30_u32).to_string();
-        let id = fresh_id();
+        let id = new_request_id();
         let deadline_ms = DEADLINE.as_millis().to_string();
         let headers = [
             ("attempt-id", id.as_str()),
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use serde_json::{Value, json};
 
-use crate::support::routed::{Routed, routes};
+use crate::support::routed::{RoutedFleet, routes};
 use crate::support::{post, sleep_ms};
 
 /// Pause between two faults, at most: shorter than most last, so that they overlap.
@@ -37,7 +37,7 @@
 }
 
 /// Plays faults until `until`, then ends all that last. Prints what is done.
-pub(crate) async fn play(routed: &mut Routed, rng: &mut SmallRng, until: Instant) {
+pub(crate) async fn play(routed: &mut RoutedFleet, rng: &mut SmallRng, until: Instant) {
     let start = Instant::now();
     let mut pending: Vec<Pending> = Vec::new();
     while Instant::now() < until {
@@ -80,13 +80,13 @@
 }
 
 /// Ends what ends by a signal or a start.
-fn undo_due(routed: &mut Routed, pending: &mut Vec<Pending>, now: Instant) {
+fn undo_due(routed: &mut RoutedFleet, pending: &mut Vec<Pending>, now: Instant) {
     pending.retain(|p| {
         if p.at > now {
             return true;
         }
         match p.undo {
-            Undo::WakeRouter(i) => routed.routers[usize::from(i)].wake(),
+            Undo::WakeRouter(i) => routed.routers[usize::from(i)].unfreeze(),
             Undo::StartRouter(i) => {
                 let at = usize::from(i);
                 if routed.routers[at].exited().is_none() {
@@ -95,7 +95,7 @@
                 routed.stopping.retain(|s| *s != at);
                 routed.spawn_router(i);
             }
-            Undo::WakeUpstream(i) => routed.upstreams[i].wake(),
+            Undo::WakeUpstream(i) => routed.upstreams[i].unfreeze(),
             Undo::ClearStore | Undo::ClearRelay(_) | Undo::ClearUpstream(_) => return true,
         }
         false
@@ -103,7 +103,7 @@
 }
 
 /// Ends what ends by a knob.
-async fn clear_due(routed: &Routed, pending: &mut Vec<Pending>, now: Instant) {
+async fn clear_due(routed: &RoutedFleet, pending: &mut Vec<Pending>, now: Instant) {
     let due: Vec<Pending> = pending.extract_if(.., |p| p.at <= now).collect();
     for p in due {
         match p.undo {
@@ -116,7 +116,7 @@
 }
 
 async fn strike(
-    routed: &mut Routed,
+    routed: &mut RoutedFleet,
     rng: &mut SmallRng,
     pending: &[Pending],
 ) -> (String, Option<Undo>) {
@@ -146,7 +146,7 @@
         }
         3 => {
             if !is_hit {
-                routed.routers[router].hang_up();
+                routed.routers[router].signal_reload();
             }
             (format!("router {i} told of settings"), None)
         }
@@ -202,7 +202,7 @@
 }
 
 /// Sets an upstream's knobs; one that is frozen or was killed meanwhile doesn't answer.
-async fn set_upstream(routed: &Routed, upstream: usize, knobs: &Value) {
+async fn set_upstream(routed: &RoutedFleet, upstream: usize, knobs: &Value) {
     let text = knobs.to_string();
     let set = post(routed.upstreams[upstream].addr, "/knobs", &text);
     if compio::time::timeout(KNOBS_LIMIT, set).await.is_err() {
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -18,7 +18,7 @@
 use rand::rngs::SmallRng;
 
 use crate::callers::Callers;
-use crate::support::routed::{Routed, Size};
+use crate::support::routed::{FleetSize, RoutedFleet};
 
 /// Soaks a fleet of processes in faults, and checks what callers were told
 #[derive(Clone, Debug, Bpaf)]
@@ -73,13 +73,13 @@
 
 async fn run(args: &Args) -> ExitCode {
     let mut rng = SmallRng::seed_from_u64(args.seed);
-    let size = Size {
+    let size = FleetSize {
         routers: args.routers,
         upstreams: args.upstreams,
         store_relays: true,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     let callers = Callers::spawn(&routed, args.callers, args.seed);
     let until = Instant::now() + Duration::from_secs(args.seconds);
     faults::play(&mut routed, &mut rng, until).await;
@@ -96,6 +96,6 @@
     for fault in &found {
         println!("FAIL {fault}");
     }
-    println!("kept in {}", routed.keep().display());
+    println!("kept in {}", routed.keep_output().display());
     ExitCode::FAILURE
 }
--- a/examples/soak/verdict.rs
+++ b/examples/soak/verdict.rs
@@ -6,7 +6,7 @@
 use standins::backend::Run;
 
 use crate::callers::Told;
-use crate::support::routed::Routed;
+use crate::support::routed::RoutedFleet;
 use crate::support::{Received, sleep_ms};
 
 /// All must flow again this long after the last fault's end.
@@ -20,7 +20,7 @@
 const RETRY_BURST: f64 = 50.0;
 
 /// Every router serves again soon after the last fault.
-pub(crate) async fn recovery(routed: &Routed) -> Vec<String> {
+pub(crate) async fn recovery(routed: &RoutedFleet) -> Vec<String> {
     let mut found = Vec::new();
     for i in 0..routed.routers.len() {
         let i = u8::try_from(i).unwrap_or_default();
@@ -43,7 +43,7 @@
 }
 
 /// Every promise that callers and upstreams can see.
-pub(crate) fn check(routed: &Routed, told: &[Told]) -> Vec<String> {
+pub(crate) fn check(routed: &RoutedFleet, told: &[Told]) -> Vec<String> {
     let runs = routed.runs();
     let mut found = Vec::new();
     let mut extra = 0;
@@ -87,7 +87,7 @@
     if one.ask.runs_once() && PROMISES.contains(&received.status) && !runs.is_empty() {
         found.push(format!("{:?} told {}, and ran", one.ask, received.status));
     }
-    if received.status == 200 && received.whole {
+    if received.status == 200 && received.complete {
         found.extend(wrong_answer(one, received, runs));
     }
     found
@@ -111,7 +111,7 @@
 }
 
 /// Within one process, a version in force never gives way to an older one.
-fn versions_step_back(routed: &Routed) -> Vec<String> {
+fn versions_step_back(routed: &RoutedFleet) -> Vec<String> {
     const MARK: &str = "\"message\":\"configuration ";
     let mut found = Vec::new();
     for i in 0..routed.routers.len() {
@@ -150,13 +150,13 @@
         let with = count(&|t| {
             t.received
                 .as_ref()
-                .is_some_and(|r| r.status == status && r.whole)
+                .is_some_and(|r| r.status == status && r.complete)
         });
         parts.push(format!("{with} with {status}"));
     }
     parts.push(format!(
         "{} cut",
-        count(&|t| t.received.as_ref().is_some_and(|r| !r.whole))
+        count(&|t| t.received.as_ref().is_some_and(|r| !r.complete))
     ));
     parts.push(format!(
         "{} without an answer",
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Unrepeatable requests over separate processes: the plain service's record of runs is the truth.
+//! Non-idempotent requests over separate processes; runs are counted in the plain service's record.
 
 mod support;
 
@@ -16,7 +16,7 @@
 };
 const ENTRIES: &str = "/records/entries";
 
-async fn enter(fleet: &Fleet, router: u8, key: &str, body: &str) -> Received {
+async fn send_entry(fleet: &Fleet, router: u8, key: &str, body: &str) -> Received {
     let headers = [("idempotency-key", key)];
     let headers = if key.is_empty() {
         &[][..]
@@ -49,29 +49,29 @@
     Uuid::now_v7().to_string()
 }
 
-/// A technician's connection drops after a logbook entry was made, and the client sends it again
-/// through each router. Each re-send gets the first run's answer; the entry is there once.
+/// A client loses its connection after the entry was made and sends it again through each router.
+/// Each resend must get the answer of the first run, and the entry must exist once.
 #[compio::test]
-async fn resend_gets_the_kept_answer() {
+async fn resend_gets_the_stored_answer() {
     let fleet = Fleet::start(SHAPE).await;
     let key = key();
-    let first = enter(&fleet, 0, &key, "entry 1").await;
+    let first = send_entry(&fleet, 0, &key, "entry 1").await;
     assert_eq!(first.status, 200, "{first:?}");
     for router in 0..3 {
-        wait_until("the kept answer", || async {
-            let again = enter(&fleet, router, &key, "entry 1").await;
+        wait_until("the stored answer", || async {
+            let again = send_entry(&fleet, router, &key, "entry 1").await;
             again.status == 200 && again.body == first.body
         })
         .await;
     }
     assert_eq!(runs(&fleet, "entry 1").await, 1);
-    let other = enter(&fleet, 1, &key, "another entry").await;
+    let other = send_entry(&fleet, 1, &key, "another entry").await;
     assert_eq!(error(&other), ("bad_request".into(), "not_run".into()));
     assert_eq!(runs(&fleet, "another entry").await, 0);
 }
 
-/// An impatient client sends one slip through all three routers at once. One claim is first in the
-/// log; the others are told that it is running, or get its answer.
+/// A client sends one request through all three routers at once. The first claim in the log wins;
+/// the other calls are refused as running or get its answer.
 #[compio::test]
 async fn racing_sends_run_once() {
     let fleet = Fleet::start(SHAPE).await;
@@ -79,7 +79,7 @@
     for i in 0..10 {
         let body = format!("slip {i}");
         let key = key();
-        let sends = (0..3).map(|router| enter(&fleet, router, &key, &body));
+        let sends = (0..3).map(|router| send_entry(&fleet, router, &key, &body));
         let received = join_all(sends).await;
         let answered = received.iter().filter(|r| r.status == 200).count();
         assert!(answered >= 1, "{received:?}");
@@ -90,18 +90,18 @@
     }
 }
 
-/// The counter service makes the ticket and its reply is lost. The caller is told that nobody knows,
-/// and so is each re-send; the ticket is there once.
+/// The upstream runs the request but its reply is lost. The caller and each resend must get the run
+/// state "unknown", and the request must run once.
 #[compio::test]
-async fn lost_upstream_is_never_tried_again() {
+async fn lost_upstream_reply_is_never_retried() {
     let fleet = Fleet::start(SHAPE).await;
     set_knobs(fleet.plains[0].addr, &json!({ "drop_replies": 1 })).await;
     let key = key();
-    let first = enter(&fleet, 0, &key, "ticket 1").await;
+    let first = send_entry(&fleet, 0, &key, "ticket 1").await;
     assert_eq!(error(&first).1, "unknown", "{first:?}");
     for router in 0..3 {
-        wait_until("the outcome", || async {
-            let again = enter(&fleet, router, &key, "ticket 1").await;
+        wait_until("the unknown outcome", || async {
+            let again = send_entry(&fleet, router, &key, "ticket 1").await;
             error(&again) == ("outcome_unknown".into(), "unknown".into())
         })
         .await;
@@ -109,10 +109,10 @@
     assert_eq!(runs(&fleet, "ticket 1").await, 1);
 }
 
-/// The platform stores the claims and loses its replies. The router finds its claim by reading, so
-/// the entry is neither refused as not run and run, nor run twice.
+/// The platform stores the claims but its replies are lost. The router finds its claim by reading
+/// the log, so an entry is never run after it was refused as not run, and never run twice.
 #[compio::test]
-async fn lost_log_reply_is_settled_by_reading() {
+async fn lost_log_reply_is_resolved_by_reading() {
     let fleet = Fleet::start(SHAPE).await;
     for i in 0..5 {
         set_knobs(fleet.platform.addr, &json!({ "drop_replies": 1 })).await;
@@ -120,13 +120,13 @@
         let key = key();
         let mut answered = false;
         for router in 0..3 {
-            let received = enter(&fleet, router, &key, &body).await;
+            let received = send_entry(&fleet, router, &key, &body).await;
             let ran = runs(&fleet, &body).await;
             assert!(ran <= 1);
             if received.status == 200 {
                 answered = true;
             } else if error(&received).1 == "not_run" && !answered {
-                assert_eq!(ran, 0, "told not run: {received:?}");
+                assert_eq!(ran, 0, "refused as not run: {received:?}");
             }
         }
         assert_eq!(runs(&fleet, &body).await, usize::from(answered));
@@ -134,25 +134,25 @@
     }
 }
 
-/// No service host takes connections: the caller is told "not run", and the claim is released, so
-/// that the same key runs, once, when the host is back.
+/// No host of the service accepts connections: the request is refused as not run and its claim is
+/// released, so the same key runs, once, when the host is back.
 #[compio::test]
 async fn released_key_runs_later() {
     let mut fleet = Fleet::start(SHAPE).await;
     fleet.plains[0].kill();
     let key = key();
-    let refused = enter(&fleet, 0, &key, "entry 1").await;
+    let refused = send_entry(&fleet, 0, &key, "entry 1").await;
     assert_eq!(error(&refused).1, "not_run", "{refused:?}");
     fleet.restart_plain(0, "{}");
     wait_until("the entry", || async {
-        enter(&fleet, 1, &key, "entry 1").await.status == 200
+        send_entry(&fleet, 1, &key, "entry 1").await.status == 200
     })
     .await;
     assert_eq!(runs(&fleet, "entry 1").await, 1);
 }
 
-/// The router that runs an entry is killed midway. A re-send through another finds its claim and
-/// isn't run.
+/// The router that runs an entry is killed midway. A resend through another router finds the claim
+/// and does not run.
 #[compio::test]
 async fn killed_router_leaves_no_second_run() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -175,7 +175,7 @@
     drop(send);
     for _ in 0..3 {
         for router in 1..3 {
-            let again = enter(&fleet, router, &key, "entry 1").await;
+            let again = send_entry(&fleet, router, &key, "entry 1").await;
             assert_eq!(error(&again).1, "unknown", "{again:?}");
         }
         compio::time::sleep(Duration::from_millis(300)).await;
@@ -184,40 +184,40 @@
 }
 
 /// The platform's log is down. A key that another router may have run is refused at once; a request
-/// without a key runs, for nobody else can send it.
+/// without a key runs, because no other router can have received it.
 #[compio::test]
-async fn counter_goes_on_in_an_outage() {
+async fn only_keyless_requests_run_in_an_outage() {
     let fleet = Fleet::start(SHAPE).await;
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
-    let refused = enter(&fleet, 0, &key(), "entry 1").await;
+    let refused = send_entry(&fleet, 0, &key(), "entry 1").await;
     let wanted = ("log_unavailable".to_owned(), "unknown".to_owned());
     assert_eq!(error(&refused), wanted);
     assert_eq!(runs(&fleet, "entry 1").await, 0);
-    let keyless = enter(&fleet, 0, "", "entry 2").await;
+    let keyless = send_entry(&fleet, 0, "", "entry 2").await;
     assert_eq!(keyless.status, 200, "{keyless:?}");
     assert_eq!(runs(&fleet, "entry 2").await, 1);
 }
 
-/// A key from before what the log surely keeps, and one from the future.
+/// A key older than the log's retention, and a key from the future.
 #[compio::test]
-async fn key_of_another_time_is_refused() {
+async fn expired_or_future_key_is_refused() {
     let fleet = Fleet::start(SHAPE).await;
     let at = |seconds: u64| {
         let time = uuid::Timestamp::from_unix(uuid::NoContext, seconds, 0);
         Uuid::new_v7(time).to_string()
     };
-    let old = enter(&fleet, 0, &at(1_600_000_000), "entry 1").await;
+    let old = send_entry(&fleet, 0, &at(1_600_000_000), "entry 1").await;
     assert_eq!(error(&old), ("key_too_old".into(), "unknown".into()));
-    let future = enter(&fleet, 0, &at(32_000_000_000), "entry 1").await;
+    let future = send_entry(&fleet, 0, &at(32_000_000_000), "entry 1").await;
     assert_eq!(error(&future), ("bad_request".into(), "unknown".into()));
-    let odd = enter(&fleet, 0, "my-key", "entry 1").await;
-    assert_eq!(error(&odd), ("bad_request".into(), "not_run".into()));
+    let malformed = send_entry(&fleet, 0, "my-key", "entry 1").await;
+    assert_eq!(error(&malformed), ("bad_request".into(), "not_run".into()));
     assert_eq!(runs(&fleet, "entry 1").await, 0);
 }
 
-/// The log is down all along. A clerk's client uses a run key from its entry answer: the slip is made
-/// at once, a re-send through any router gets its answer, and when that router is gone the client
-/// is told that nobody knows: never a second slip.
+/// The log is down throughout. A client uses a run key from its entry answer: the request runs at
+/// once, a resend through any router gets its answer, and after that router is killed the client
+/// gets the run state "unknown". It never runs twice.
 #[compio::test]
 async fn run_key_works_without_the_log() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -226,29 +226,29 @@
     let entry: Value = serde_json::from_str(&entry.unwrap().body).unwrap();
     assert_eq!(entry["run_addr"], fleet.caller(0).to_string());
     let key = format!("{}.{}", entry["run_prefix"].as_str().unwrap(), key());
-    let first = enter(&fleet, 0, &key, "slip 1").await;
+    let first = send_entry(&fleet, 0, &key, "slip 1").await;
     assert_eq!(first.status, 200, "{first:?}");
     for router in 0..3 {
-        wait_until("the kept answer", || async {
-            let again = enter(&fleet, router, &key, "slip 1").await;
+        wait_until("the stored answer", || async {
+            let again = send_entry(&fleet, router, &key, "slip 1").await;
             again.status == 200 && again.body == first.body
         })
         .await;
     }
     let relayed = format!("{}.{}", entry["run_prefix"].as_str().unwrap(), self::key());
-    let other = enter(&fleet, 2, &relayed, "slip 2").await;
+    let other = send_entry(&fleet, 2, &relayed, "slip 2").await;
     assert_eq!(other.status, 200, "{other:?}");
     fleet.routers[0].kill();
     for router in 1..3 {
-        let again = enter(&fleet, router, &key, "slip 1").await;
+        let again = send_entry(&fleet, router, &key, "slip 1").await;
         assert_eq!(error(&again), ("outcome_unknown".into(), "unknown".into()));
     }
     assert_eq!(runs(&fleet, "slip 1").await, 1);
     assert_eq!(runs(&fleet, "slip 2").await, 1);
 }
 
-/// The router that claims a key is frozen at some moment of its work, and the client sends the key
-/// again through another. Then the first router wakes and goes on as if nothing had happened.
+/// The router that claims a key is frozen at some point of its work, and the client sends the key
+/// again through another. The first router then wakes and continues.
 #[compio::test]
 async fn frozen_claimant_causes_no_second_run() {
     let fleet = Fleet::start(SHAPE).await;
@@ -256,12 +256,12 @@
     for i in 0..8_u64 {
         let key = key();
         let body = format!("entry {i}");
-        let first = enter(&fleet, 0, &key, &body);
+        let first = send_entry(&fleet, 0, &key, &body);
         let second = async {
             compio::time::sleep(Duration::from_millis(15 * i)).await;
             fleet.routers[0].freeze();
-            let second = enter(&fleet, 1, &key, &body).await;
-            fleet.routers[0].wake();
+            let second = send_entry(&fleet, 1, &key, &body).await;
+            fleet.routers[0].unfreeze();
             second
         };
         let (first, second) = futures_util::future::join(first, second).await;
@@ -278,8 +278,8 @@
     }
 }
 
-/// A slip is made under a run key, and its router is killed later. What the router left on the log
-/// answers a re-send through another: the client needn't send anybody to look.
+/// A request runs under a run key, and its router is killed later. The result that the router wrote
+/// to the log answers a resend through another router.
 #[compio::test]
 async fn run_keys_answer_outlives_its_router() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -289,29 +289,29 @@
     let platform = fleet.platform.addr;
     let appends = || async { get(platform, "/counts").await.unwrap() };
     let before = appends().await;
-    let first = enter(&fleet, 0, &key, "slip 1").await;
+    let first = send_entry(&fleet, 0, &key, "slip 1").await;
     assert_eq!(first.status, 200, "{first:?}");
-    wait_until("the kept answer", || async { appends().await != before }).await;
+    wait_until("the stored answer", || async { appends().await != before }).await;
     fleet.routers[0].kill();
     for router in 1..3 {
-        let again = enter(&fleet, router, &key, "slip 1").await;
+        let again = send_entry(&fleet, router, &key, "slip 1").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "{again:?}");
     }
     assert_eq!(runs(&fleet, "slip 1").await, 1);
 }
 
-/// A ticket is made and its reply is lost; then the log goes down, and the client sends the key
-/// again. Told "not run", it would make a new ticket under a new key: it is told "unknown".
+/// A request runs and its reply is lost; then the log goes down and the client sends the key again.
+/// After "not run" the client would send the request under a new key, so it must get "unknown".
 #[compio::test]
-async fn resend_in_an_outage_is_not_told_as_not_run() {
+async fn resend_in_an_outage_is_not_refused_as_not_run() {
     let fleet = Fleet::start(SHAPE).await;
     set_knobs(fleet.plains[0].addr, &json!({ "drop_replies": 1 })).await;
     let key = key();
-    let first = enter(&fleet, 0, &key, "ticket 1").await;
+    let first = send_entry(&fleet, 0, &key, "ticket 1").await;
     assert_eq!(error(&first).1, "unknown", "{first:?}");
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
     for router in 0..3 {
-        let again = enter(&fleet, router, &key, "ticket 1").await;
+        let again = send_entry(&fleet, router, &key, "ticket 1").await;
         assert_eq!(error(&again).1, "unknown", "{again:?}");
     }
     assert_eq!(runs(&fleet, "ticket 1").await, 1);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Malformed, unknown and oversized requests: each gets a typed refusal, and holds nothing.
+//! Malformed, unknown and oversized requests: each gets a typed refusal, and its resources are
+//! released.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use support::raw::{Raw, head, in_flight, open_connections, serves};
+use support::raw::{Raw, head, wait_connections, wait_in_flight, wait_serving};
 use support::{ACCOUNT_KEY, Fleet, Received, Shape, account, call, chat_body};
 use test_case::test_case;
 
@@ -22,7 +23,7 @@
 const CHAT: &str = "/v1/chat/completions";
 
 const SEED: u64 = 3;
-const MANGLED: u32 = 400;
+const MUTATED_REQUESTS: u32 = 400;
 
 /// Method, path, headers, body, and the field that the refusal names.
 type Case<'a> = (&'a str, &'a str, &'a [(&'a str, &'a str)], &'a str, &'a str);
@@ -31,7 +32,7 @@
     Fleet::start_with_limits(SHAPE, limits).await
 }
 
-/// Every refusal has these fields, and its request's id twice.
+/// Checks that a refusal has all its fields and carries the request's id twice.
 fn refusal(received: &Received, status: u16, cause: &str) -> Value {
     assert_eq!(received.status, status, "{received:?}");
     assert_eq!(received.header("content-type"), "application/json");
@@ -125,7 +126,7 @@
 }
 
 #[compio::test]
-async fn strangers_and_suspended_accounts_are_refused() {
+async fn unknown_and_suspended_accounts_are_refused() {
     let fleet = fleet(json!({})).await;
     let addr = fleet.caller(0);
     for key in [
@@ -135,7 +136,7 @@
     ] {
         let request =
             format!("GET /v1/entry HTTP/1.1\r\nhost: r\r\n{key}connection: close\r\n\r\n");
-        let text = Raw::open(addr).send(&request).rest();
+        let text = Raw::open(addr).send(&request).read_to_close();
         assert!(text.starts_with("HTTP/1.1 401 "), "{text}");
         assert!(text.contains("\"cause\":\"unauthorized\""), "{text}");
     }
@@ -147,7 +148,7 @@
     refusal(&received.unwrap(), 403, "account_suspended");
 }
 
-/// The body's bound holds for announced and for chunked bodies, and the refusal arrives although
+/// The limit on bodies applies to announced and to chunked bodies, and the refusal arrives while
 /// the caller is still sending.
 #[compio::test]
 async fn bodies_beyond_the_bound_are_refused() {
@@ -163,7 +164,7 @@
         "POST /records/t HTTP/1.1\r\nhost: r\r\nauthorization: Bearer {ACCOUNT_KEY}\r\n\
          connection: close\r\ntransfer-encoding: chunked\r\n\r\n2dc6c0\r\n{long}\r\n0\r\n\r\n"
     );
-    let text = Raw::open(addr).send(&chunked).rest();
+    let text = Raw::open(addr).send(&chunked).read_to_close();
     assert!(text.starts_with("HTTP/1.1 413 "), "{text}");
 }
 
@@ -178,14 +179,14 @@
     let many: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "v")).collect();
     let received = call(addr, "GET", "/v1/entry", &many, "").await;
     refusal(&received.unwrap(), 413, "too_large");
-    // Past the parser's own bound no request exists that could be refused by type.
+    // Beyond the parser's own limit there is no parsed request for a typed refusal.
     let huge = format!(
         "GET /v1/entry HTTP/1.1\r\nx-long: {}\r\n\r\n",
         "v".repeat(100_000)
     );
     let mut raw = Raw::open(addr);
     let _ = raw.0.write_all(huge.as_bytes());
-    let text = raw.rest();
+    let text = raw.read_to_close();
     assert!(
         text.is_empty() || text.starts_with("HTTP/1.1 431 "),
         "{text}"
@@ -198,40 +199,40 @@
 #[test_case("POST /v1/entry HTTP/1.1\r\ncontent-length: -1\r\n\r\n", "400"; "negative length")]
 #[test_case("POST /v1/entry HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n", "400"; "two lengths")]
 #[test_case("GET /v1/entry HTTP/1.0\r\n\r\n", "400"; "HTTP 1.0")]
-fn bytes_that_are_no_request_end_the_connection(bytes: &str, status: &str) {
+fn malformed_bytes_close_the_connection(bytes: &str, status: &str) {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let fleet = fleet(json!({})).await;
-        let text = Raw::open(fleet.caller(0)).send(bytes).rest();
+        let text = Raw::open(fleet.caller(0)).send(bytes).read_to_close();
         let version = "HTTP/1.1".len();
         assert_eq!(&text[version..][..5], format!(" {status} "), "{text}");
-        serves(&fleet).await;
+        wait_serving(&fleet).await;
     });
 }
 
-/// Good requests with bytes flipped, cut, doubled and put in: whatever arrives, the connection ends,
-/// nothing is held, and the router goes on serving.
+/// Valid requests with bytes flipped, removed, duplicated and inserted: the connection always ends,
+/// its resources are released, and the router keeps serving.
 #[compio::test]
-async fn mangled_requests_end() {
+async fn mutated_requests_close_the_connection() {
     let fleet = fleet(json!({ "header_timeout_ms": 500, "body_timeout_ms": 500 })).await;
     let addr = fleet.caller(0);
     let mut rng = SmallRng::seed_from_u64(SEED);
-    for _ in 0..MANGLED {
+    for _ in 0..MUTATED_REQUESTS {
         let body = chat_body("c", "p", 1);
         let good = format!("{}connection: close\r\n\r\n{body}", head(CHAT, body.len()));
-        let bytes = mangle(good.into_bytes(), &mut rng);
+        let bytes = mutate(good.into_bytes(), &mut rng);
         let mut raw = Raw::open(addr);
-        // The router may cut before all is sent.
+        // The router may close the connection before everything is sent.
         let _ = raw.0.write_all(&bytes);
         let _ = raw.0.shutdown(Shutdown::Write);
-        raw.rest();
+        raw.read_to_close();
     }
-    open_connections(&fleet, 0).await;
-    in_flight(&fleet, 0).await;
-    serves(&fleet).await;
+    wait_connections(&fleet, 0).await;
+    wait_in_flight(&fleet, 0).await;
+    wait_serving(&fleet).await;
 }
 
-fn mangle(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
+fn mutate(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
     for _ in 0..rng.random_range(1..8) {
         let at = rng.random_range(0..bytes.len());
         match rng.random_range(0..4) {
@@ -244,8 +245,9 @@
     bytes
 }
 
-/// Two lengths, or no host: what one reader takes for a body's end another takes for a request, and
-/// nobody can say which site was meant. Each gets one refusal, and what follows isn't read.
+/// With two lengths, parsers may disagree on where the body ends and the next request begins
+/// (request smuggling); without a host, the site is ambiguous. Each such request gets one refusal,
+/// and the bytes after it are not read.
 #[test_case("content-length: 5\r\ntransfer-encoding: chunked\r\nhost: router\r\n", "content-length"; "two lengths")]
 #[test_case("content-length: 0\r\n", "host"; "no host")]
 #[compio::test]
@@ -256,7 +258,7 @@
         "POST {CHAT} HTTP/1.1\r\nauthorization: Bearer {ACCOUNT_KEY}\r\n{headers}\
          connection: close\r\n\r\n0\r\n\r\n{inner}\r\n"
     );
-    let received = Raw::open(fleet.caller(0)).send(&text).rest();
+    let received = Raw::open(fleet.caller(0)).send(&text).read_to_close();
     assert!(received.starts_with("HTTP/1.1 400 "), "{received}");
     assert!(received.contains(field), "{received}");
     let answers = received.lines().filter(|l| l.starts_with("HTTP/1."));
--- a/tests/cli_account.rs
+++ b/tests/cli_account.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn put_list_change_and_delete() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let key = "a-caller-key";
     work.ok(&[
         "account",
@@ -39,7 +39,7 @@
     let accounts = accounts.as_array().unwrap();
     let shop = accounts.iter().find(|a| a["name"] == "shop").unwrap();
     assert_eq!(shop["key_sha256"], sha256_of_a_caller_key());
-    assert_eq!(shop["weight"], 2.5, "what isn't given stays");
+    assert_eq!(shop["weight"], 2.5, "an omitted option must keep its value");
     assert_eq!(shop["priority"], "batch");
     let out = work.ok(&["account", "list"]);
     let row = out.lines().find(|l| l.starts_with("shop ")).unwrap();
@@ -56,9 +56,9 @@
 }
 
 #[compio::test]
-async fn broken_rules_are_refused() {
+async fn invalid_accounts_are_refused() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let err = work.fails(3, &["account", "put", "--key-sha256", "12", "shop"]);
     assert!(err.contains("account.key_sha256"), "{err}");
     let help = work.ok(&["account", "put", "--help"]);
--- a/tests/cli_apply.rs
+++ b/tests/cli_apply.rs
@@ -16,7 +16,7 @@
 #[compio::test]
 async fn applies_a_change_given_as_json() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let reply = work.json(&["apply", OTHER]);
     assert_eq!(reply["accepted"], true);
     assert!(work.ok(&["service", "list"]).contains("other"));
@@ -25,11 +25,12 @@
     work.fails(2, &["apply", "{"]);
 }
 
-/// Two operators change the same version; the second is told that it lost, and to which change.
+/// Two operators change the same version; the second change is refused and the error names the
+/// winner.
 #[compio::test]
 async fn a_lost_race_names_the_winner() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let version = work.json(&["config"])["version"].to_string();
     work.ok(&["drain", "--upstream", "engine-0", "--against", &version]);
     let ran = work.run(&["apply", "--against", &version, "--json", OTHER]);
--- a/tests/cli_check.rs
+++ b/tests/cli_check.rs
@@ -19,16 +19,16 @@
     let whole: serde_json::Value = serde_json::from_str(&out).unwrap();
     assert_eq!(whole["host"]["name"], "a1");
     assert_eq!(whole["limits"]["max_connections"], 4_096);
-    assert!(!out.contains("0123456789abcdef"), "keys stay hidden");
+    assert!(!out.contains("0123456789abcdef"), "keys must be redacted");
     let shown = work.ok(&["check", "--show-keys", "good.jsonc"]);
     assert!(shown.contains("0123456789abcdef"));
-    // What is printed can be used again.
+    // The printed settings are valid input.
     work.file("whole.jsonc", &shown);
     assert_eq!(work.ok(&["check", "whole.jsonc"]), out);
 }
 
 #[test]
-fn every_fault_is_told_with_its_line() {
+fn every_fault_is_reported_with_its_line() {
     let work = WorkDir::new();
     let bad = GOOD
         .replace("\"a1\"", "7")
--- a/tests/cli_config.rs
+++ b/tests/cli_config.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn shows_the_state_in_force() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let state = work.json(&["config"]);
     assert_eq!(state["services"].as_array().unwrap().len(), 2);
     let out = work.ok(&["config"]);
@@ -26,8 +26,8 @@
 #[compio::test]
 async fn wrong_keys_and_silent_routers_have_their_own_codes() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
-    // The right key's length, its beginning, and with more behind it.
+    let work = WorkDir::for_fleet(&fleet);
+    // One byte off, a prefix of the key, a longer key, and blank.
     for key in [
         "operator-key-0123456780",
         "operator-key",
--- a/tests/cli_drain.rs
+++ b/tests/cli_drain.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn upstream_and_back() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     work.ok(&["drain", "--upstream", "engine-0"]);
     assert_eq!(draining(&work), Some(true));
     work.ok(&["undrain", "--upstream", "engine-0"]);
@@ -30,7 +30,7 @@
 #[compio::test]
 async fn host_and_back() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let err = work.fails(8, &["drain", "--host", "router-77"]);
     assert!(err.contains("no host is named"), "{err}");
     work.ok(&["drain", "--host", "router-0"]);
--- a/tests/cli_evacuate.rs
+++ b/tests/cli_evacuate.rs
@@ -12,18 +12,19 @@
     plains: 0,
 };
 
-/// An operator evacuates the data centre of engine 1 while chats return through every router. Soon none of them runs
-/// there and nobody is refused; taken back, the engine gets work again.
+/// An operator evacuates the data centre of engine 1 while chats return through every router. Soon
+/// none of them runs there and no caller is refused; after the evacuation is undone, the engine
+/// gets work again.
 #[compio::test]
 async fn data_center_and_back() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let sent = Cell::new(0);
     assert!(chats_at_engine(&fleet, &sent).await > 0);
     work.ok(&["evacuate", "dc-1"]);
     assert!(work.ok(&["config"]).contains("evacuated  dc-1"));
     assert!(work.ok(&["fleet"]).contains("evacuated: dc-1"));
-    wait_until("all routers to know", || async {
+    wait_until("all routers to apply the evacuation", || async {
         chats_at_engine(&fleet, &sent).await == 0
     })
     .await;
@@ -31,7 +32,7 @@
         assert_eq!(chats_at_engine(&fleet, &sent).await, 0);
     }
     work.ok(&["evacuate", "dc-1", "--undo"]);
-    wait_until("work again", || async {
+    wait_until("new work at the engine", || async {
         chats_at_engine(&fleet, &sent).await > 0
     })
     .await;
@@ -40,7 +41,7 @@
     work.fails(1, &["evacuate"]);
 }
 
-/// Sends 12 chats more, four to each router; tells how many of them ran at engine 1.
+/// Sends 12 more chats, four to each router, and returns how many of them ran at engine 1.
 async fn chats_at_engine(fleet: &Fleet, sent: &Cell<u32>) -> usize {
     let before = runs(fleet).await;
     for i in 0..12 {
--- a/tests/cli_fleet.rs
+++ b/tests/cli_fleet.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn shows_hosts_and_upstreams() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let reply = work.json(&["fleet"]);
     assert_eq!(reply["host"], "router-0");
     assert_eq!(reply["upstreams"].as_array().unwrap().len(), 2);
--- a/tests/cli_order.rs
+++ b/tests/cli_order.rs
@@ -14,7 +14,7 @@
 #[compio::test]
 async fn orders_reach_the_engine() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let first = work.json(&["order", "engine-0", "load_version", "7"]);
     assert_eq!(first["done"], true, "{first}");
     let second = work.json(&["order", "engine-0", "load_adapter", "bikes"]);
@@ -36,7 +36,7 @@
 #[compio::test]
 async fn orders_need_an_upstream_that_exists() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let ran = work.run(&["order", "engine-77", "load_version", "7"]);
     assert_ne!(ran.code, 0, "{ran:?}");
     assert!(ran.err.starts_with("cassiagrade: "), "{ran:?}");
--- a/tests/cli_policy.rs
+++ b/tests/cli_policy.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn put_list_change_and_delete() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     work.ok(&[
         "policy",
         "put",
--- a/tests/cli_rollout.rs
+++ b/tests/cli_rollout.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn start_pause_resume_and_undo() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     work.fails(8, &["rollout", "pause", "draft"]);
     work.fails(8, &["rollout", "start", "--version", "1", "nowhere"]);
     work.ok(&["rollout", "start", "--version", "1", "draft"]);
--- a/tests/cli_router.rs
+++ b/tests/cli_router.rs
@@ -1,4 +1,4 @@
-//! `cassiagrade router`: what it refuses to start with.
+//! `cassiagrade router`: errors at start.
 
 mod support;
 
@@ -13,9 +13,9 @@
     work.fails(1, &["router"]);
 }
 
-/// Two routers are told to listen on one address: the second says which field, and ends.
+/// Two routers are set to listen on one address: the second names the field in its error and exits.
 #[test]
-fn a_taken_address_is_named() {
+fn address_in_use_is_named() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = taken.local_addr().unwrap();
     let work = WorkDir::new();
--- a/tests/cli_service.rs
+++ b/tests/cli_service.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn put_list_and_delete() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     work.ok(&[
         "service", "put", "--kind", "engine", "--model", "large", "big",
     ]);
@@ -34,7 +34,7 @@
 #[compio::test]
 async fn mark_and_unmark_non_idempotent_calls() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let calls = ["--method", "POST", "--path", "/records/slips", "records"];
     let mark = [&["service", "mark"], &calls[..]].concat();
     work.ok(&mark);
@@ -43,7 +43,7 @@
     let slips = rules
         .iter()
         .filter(|r| r["path_prefix"] == "/records/slips");
-    assert_eq!(slips.count(), 1, "marked once, though told twice");
+    assert_eq!(slips.count(), 1, "marked twice, must be listed once");
     let unmark = [&["service", "unmark"], &calls[..]].concat();
     work.ok(&unmark);
     assert_eq!(records_rules(&work).len(), rules.len() - 1);
--- a/tests/cli_upstream.rs
+++ b/tests/cli_upstream.rs
@@ -13,7 +13,7 @@
 #[compio::test]
 async fn put_list_change_and_delete() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let put = [
         "upstream",
         "put",
@@ -43,7 +43,7 @@
 #[compio::test]
 async fn bad_values_are_refused() {
     let fleet = Fleet::start(SHAPE).await;
-    let work = WorkDir::at(&fleet);
+    let work = WorkDir::for_fleet(&fleet);
     let err = work.fails(1, &["upstream", "put", "--addr", "engine.example:80", "e"]);
     assert!(err.contains("engine.example:80"), "{err}");
     let put = [
--- a/tests/config_outage.rs
+++ b/tests/config_outage.rs
@@ -1,4 +1,4 @@
-//! The configuration through outages of the platform, lost replies and racing operators.
+//! The configuration during platform outages, lost replies and concurrent changes.
 
 mod support;
 
@@ -15,7 +15,7 @@
     plains: 1,
 };
 
-fn mark(host: &str) -> Op {
+fn drain_host(host: &str) -> Op {
     Op::MarkHost(HostMark {
         host: host.to_owned(),
         draining: true,
@@ -26,7 +26,7 @@
     let change = Change {
         against_version,
         author: author.to_owned(),
-        op: Some(mark(author)),
+        op: Some(drain_host(author)),
     };
     let request = ApplyRequest {
         change: Some(change),
@@ -35,8 +35,8 @@
     operator.apply(request).await.unwrap()
 }
 
-/// A host is replaced while the platform is down. The new router takes the configuration from the
-/// others and serves; once the platform is back it follows the log as before.
+/// A host is replaced while the platform is down. The new router takes the configuration from its
+/// peers and serves; once the platform is back it follows the log again.
 #[compio::test]
 async fn replaced_router_starts_from_its_peers() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -51,16 +51,16 @@
     let served = call(fleet.caller(2), "POST", "/records/tickets", &[], "x").await;
     assert_eq!(served.unwrap().status, 200);
     set_knobs(fleet.platform.addr, &json!({})).await;
-    let after = fleet.accept(mark("router-9")).await;
+    let after = fleet.accept(drain_host("router-9")).await;
     fleet.wait_version(2, after.version).await;
 }
 
-/// Every router is replaced while the platform is down. None pretends to have a configuration; all
-/// have the accepted one when the platform is back.
+/// Every router is replaced while the platform is down. None reports a configuration; all have the
+/// accepted one when the platform is back.
 #[compio::test]
-async fn fleet_without_log_and_peers_says_so() {
+async fn fleet_without_log_and_peers_is_not_ready() {
     let mut fleet = Fleet::start(SHAPE).await;
-    let before = fleet.accept(mark("router-9")).await;
+    let before = fleet.accept(drain_host("router-9")).await;
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
     for i in 0..3 {
         fleet.restart_router(i);
@@ -68,7 +68,10 @@
     for i in 0..3 {
         fleet.wait_healthy(i).await;
         let ready = get(fleet.admin(i), "/readyz").await;
-        assert_eq!(ready, None, "not ready");
+        assert_eq!(
+            ready, None,
+            "a router without configuration must not be ready"
+        );
     }
     set_knobs(fleet.platform.addr, &json!({})).await;
     for i in 0..3 {
@@ -76,9 +79,10 @@
     }
 }
 
-/// A router that knows no configuration must not call a valid key unknown: its caller would give up for good.
+/// A router without a configuration must not refuse a valid key as unknown: its caller would not
+/// retry.
 #[compio::test]
-async fn router_without_a_configuration_denies_no_key() {
+async fn router_without_a_configuration_refuses_no_key_as_unknown() {
     let mut fleet = Fleet::start(SHAPE).await;
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
     for i in 0..3 {
@@ -94,10 +98,10 @@
     }
 }
 
-/// Two operators change the same version at two routers at once. One is accepted; the other is told
-/// whose change won.
+/// Two operators change the same version at two routers at once. One change is accepted; the other
+/// is refused with the author and id of the winning change.
 #[compio::test]
-async fn loser_of_a_race_is_told_the_winner() {
+async fn losing_change_names_the_winner() {
     let fleet = Fleet::start(SHAPE).await;
     for _ in 0..5 {
         let mut operator = fleet.operator(0).await.unwrap();
@@ -120,10 +124,10 @@
     }
 }
 
-/// The platform stores a change and loses its reply. The operator is told "accepted", for the router
-/// finds the change by reading; it is there once.
+/// The platform stores a change and its reply is lost. The operator gets "accepted", because the
+/// router finds the change by reading the log; the change is there once.
 #[compio::test]
-async fn lost_reply_is_settled_by_reading() {
+async fn lost_reply_is_resolved_by_reading() {
     let fleet = Fleet::start(SHAPE).await;
     let mut operator = fleet.operator(0).await.unwrap();
     let version = operator.config().await.unwrap().version;
@@ -133,10 +137,10 @@
     assert_eq!(reply.version, version + 1);
 }
 
-/// The platform is down when an operator makes a change: it is told that the change isn't in force,
-/// and the change never comes into force later.
+/// The platform is down when an operator makes a change: the reply says that it is not in force,
+/// and it never comes into force later.
 #[compio::test]
-async fn change_in_an_outage_is_refused_for_good() {
+async fn change_in_an_outage_is_never_applied() {
     let fleet = Fleet::start(SHAPE).await;
     let mut operator = fleet.operator(0).await.unwrap();
     let before = operator.config().await.unwrap();
@@ -145,7 +149,7 @@
         change: Some(Change {
             against_version: before.version,
             author: "ana".to_owned(),
-            op: Some(mark("ana")),
+            op: Some(drain_host("ana")),
         }),
     };
     let refused = operator.apply(request).await.unwrap_err().to_string();
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Routers that stop: by plan, by a crash, or for a while.
+//! Routers that stop: planned stops, crashes and pauses.
 
 mod support;
 
@@ -15,7 +15,7 @@
     engines: 3,
     plains: 1,
 };
-/// Two seconds at the stand-in's 5 ms a token: longer than the entry answers' time to live.
+/// Two seconds at the stand-in's 5 ms a token: longer than the time to live of entry answers.
 const TOKENS: u32 = 400;
 
 fn prompt(i: usize) -> String {
@@ -31,9 +31,9 @@
 }
 
 fn assert_whole(i: usize, answer: Option<Received>) {
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("no answer");
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.complete, "{answer:?}");
     assert_eq!(answer.text(), expected_answer(&prompt(i), TOKENS));
     assert_eq!(answer.data().last(), Some(&"[DONE]"));
 }
@@ -43,12 +43,13 @@
     events.filter(|e| e["host"] == host).collect()
 }
 
-fn saw(events: &[Value], kind: &str, detail: &str) -> bool {
-    let holds = |e: &Value| e["kind"] == kind && e["detail"].as_str().unwrap().starts_with(detail);
-    events.iter().any(holds)
+fn has_event(events: &[Value], kind: &str, detail: &str) -> bool {
+    let matches =
+        |e: &Value| e["kind"] == kind && e["detail"].as_str().unwrap().starts_with(detail);
+    events.iter().any(matches)
 }
 
-/// Waits until `count` streams have brought their callers a few tokens.
+/// Waits until `count` streams have delivered a few tokens to their callers.
 async fn wait_streaming(fleet: &Fleet, count: usize) {
     wait_until("the streams' first tokens", || async {
         let mut streaming = 0;
@@ -63,7 +64,7 @@
 }
 
 async fn wait_started(fleet: &Fleet, count: usize) {
-    wait_until("the streams", || async {
+    wait_until("all streams to start", || async {
         let events = fleet.events();
         let started = events.iter().filter(|e| e["kind"] == "request_started");
         started.count() >= count
@@ -71,9 +72,9 @@
     .await;
 }
 
-/// A host is taken away by plan while callers stream through it and through its homes. Each of
-/// them must get the whole answer, the process must end by itself with 0, and callers that follow
-/// their entry answers notice nothing.
+/// A host is drained while callers stream through it and through the upstreams it is home of. Each
+/// caller must get the whole answer, the process must exit with 0, and callers that follow their
+/// entry answers must see no error.
 #[compio::test]
 async fn planned_stop_cuts_nothing() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -84,7 +85,7 @@
     fleet.routers[1].terminate();
     let caller = Caller::new(ACCOUNT_KEY);
     let (addr, victim) = (fleet.caller(0), fleet.caller(1).to_string());
-    wait_until("the entry answers to leave it out", || async {
+    wait_until("entry answers without router 1", || async {
         let entry = caller.call(addr, "GET", "/v1/entry?model=small&chat=c", &[], "");
         !entry.await.unwrap().body.contains(&victim)
     })
@@ -97,28 +98,27 @@
     let status = fleet.routers[1].wait_exit().await;
     assert_eq!(status.code(), Some(0));
     let events = events_of(&fleet, "router-1");
-    assert!(saw(&events, "router_stopped", "0 still in flight"));
+    assert!(has_event(&events, "router_stopped", "0 still in flight"));
 }
 
-/// A caller holds an address for longer than its time to live and comes to a router that is about
-/// to end. It must be refused at once, as not run, with the time to come back; a caller that comes
-/// before that is served.
+/// A caller uses an address after its time to live and reaches a router that is about to exit. It
+/// must be refused at once as not run, with a retry time; a caller that arrives earlier is served.
 #[compio::test]
-async fn late_caller_is_refused_honestly() {
+async fn late_caller_is_refused_as_not_run() {
     let mut fleet = Fleet::start(SHAPE).await;
     let long = stream(fleet.caller(1), 0);
     wait_started(&fleet, 1).await;
     fleet.routers[1].terminate();
-    wait_until("the announcement", || async {
-        saw(&events_of(&fleet, "router-1"), "router_draining", "leaving")
+    wait_until("the drain announcement", || async {
+        has_event(&events_of(&fleet, "router-1"), "router_draining", "leaving")
     })
     .await;
     let body = chat_body("c", "label for a saddle", 4);
     let path = "/v1/chat/completions";
     let early = call(fleet.caller(1), "POST", path, &[], &body).await;
     assert_eq!(early.unwrap().status, 200);
-    wait_until("the refusals", || async {
-        saw(
+    wait_until("router 1 to refuse requests", || async {
+        has_event(
             &events_of(&fleet, "router-1"),
             "router_draining",
             "refusing",
@@ -135,8 +135,8 @@
     assert_eq!(fleet.routers[1].wait_exit().await.code(), Some(0));
 }
 
-/// A router crashes. Streams whose caller came to another router go on: their upstream has a new
-/// home, and the answer is picked up there. New requests to any upstream are served again.
+/// A router crashes. Streams of callers at other routers continue: their upstream gets a new home,
+/// and the answer is resumed there. New requests to any upstream are served again.
 #[compio::test]
 async fn crash_of_a_home_is_survived() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -146,9 +146,9 @@
     for (i, stream) in streams.into_iter().enumerate() {
         assert_whole(i, stream.await.unwrap());
     }
-    wait_until("the crash to be known", || async {
+    wait_until("the crash to be detected", || async {
         let events = events_of(&fleet, "router-0");
-        saw(&events, "member_changed", "router-1 dead")
+        has_event(&events, "member_changed", "router-1 dead")
     })
     .await;
     let body = chat_body("c", "label for a pedal", 4);
@@ -159,30 +159,30 @@
     }
 }
 
-/// A host is paused until the others gave its router up, and requests pile up in its sockets. When
-/// it wakes it must not admit them as the home it no longer is: it learns first that it was given
-/// up, and comes back as a newer incarnation.
+/// A router is paused until the others have declared it dead, and requests pile up in its sockets.
+/// On waking it must not admit them as the home it no longer is: it first learns that it was
+/// declared dead and rejoins with a higher incarnation.
 #[compio::test]
-async fn woken_router_admits_nothing_before_it_knows() {
+async fn woken_router_admits_nothing_before_it_refutes_its_death() {
     let fleet = Fleet::start(SHAPE).await;
     fleet.routers[1].freeze();
-    let piled: Vec<_> = (0..6).map(|i| stream(fleet.caller(1), i)).collect();
-    wait_until("the router to be given up", || async {
-        let by = |host| saw(&events_of(&fleet, host), "member_changed", "router-1 dead");
+    let queued: Vec<_> = (0..6).map(|i| stream(fleet.caller(1), i)).collect();
+    wait_until("router 1 to be declared dead", || async {
+        let by = |host| has_event(&events_of(&fleet, host), "member_changed", "router-1 dead");
         by("router-0") && by("router-2")
     })
     .await;
     let before = events_of(&fleet, "router-1").len();
-    fleet.routers[1].wake();
-    wait_until("its return", || async {
+    fleet.routers[1].unfreeze();
+    wait_until("router 1 to rejoin", || async {
         let events = events_of(&fleet, "router-0");
         let back = |e: &&Value| e["detail"].as_str().unwrap().starts_with("router-1 alive");
         events.iter().filter(back).count() >= 2
     })
     .await;
-    for answer in piled {
-        let answer = answer.await.unwrap().expect("an answer");
-        assert!(answer.whole, "{answer:?}");
+    for answer in queued {
+        let answer = answer.await.unwrap().expect("no answer");
+        assert!(answer.complete, "{answer:?}");
         assert!(answer.status == 200 || answer.not_run(), "{answer:?}");
     }
     let events = events_of(&fleet, "router-1");
@@ -192,10 +192,10 @@
         let found = since
             .iter()
             .position(|e| e["detail"].as_str().unwrap().starts_with(&detail));
-        found.expect("a change of its own state")
+        found.expect("no member_changed event of router 1")
     };
-    let (doubt, back) = (own("leaving"), own("alive"));
-    assert!(doubt < back);
+    let (leaving, back) = (own("leaving"), own("alive"));
+    assert!(leaving < back);
     let admitted = since[..back].iter().any(|e| e["kind"] == "request_started");
     assert!(!admitted, "{:?}", &since[..back]);
     let metrics = get(fleet.admin(1), "/metrics").await.unwrap();
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -7,11 +7,11 @@
 const CHATS: usize = 20;
 const TURNS: usize = 4;
 
-/// Chats return again and again, each time to the first address of a fresh entry answer. New chats
-/// are levelled over the engines, so a first request may hop; a returning one must be led to the
-/// home of the engine where it is warm.
+/// Chats return repeatedly, each time to the first address of a fresh entry answer. New chats are
+/// balanced over the engines, so a first request may hop; a returning one must be sent to the home
+/// of the engine that has its prefix cached.
 #[compio::test]
-async fn returning_chats_land_at_their_home() {
+async fn returning_chats_reach_their_home() {
     let fleet = Fleet::start_with(Options::new(3, 6, 0)).await;
     let caller = Caller::new(ACCOUNT_KEY);
     let mut hops = Vec::new();
@@ -27,7 +27,7 @@
             let body = chat_body(&name, &prompt, 2);
             let answer = caller.chat(first.parse().unwrap(), &body).await.unwrap();
             assert_eq!(answer.status, 200, "{answer:?}");
-            assert!(answer.whole);
+            assert!(answer.complete);
         }
         let events = fleet.events_until_now().await;
         hops.push(
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that go away: no new work after a few seconds, whoever said so first.
+//! Draining upstreams get no new work after a few seconds, whichever router learned of it first.
 
 mod support;
 
@@ -14,21 +14,21 @@
 };
 
 #[derive(Clone, Copy)]
-enum By {
+enum DrainSource {
     List,
     Configuration,
 }
 
-/// Engine 1 is taken away while its chats return through every router. Soon no router starts new
-/// work there, its chats are served by the others, and nobody is refused.
-#[test_case(By::List; "by the platform's list")]
-#[test_case(By::Configuration; "by the configuration")]
-fn leaving_engine_gets_no_new_work(by: By) {
+/// Engine 1 is drained while its chats return through every router. Soon no router may start new
+/// work there, the other engines serve its chats, and no caller is refused.
+#[test_case(DrainSource::List; "by the platform's list")]
+#[test_case(DrainSource::Configuration; "by the configuration")]
+fn leaving_engine_gets_no_new_work(source: DrainSource) {
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let fleet = Fleet::start(SHAPE).await;
         assert!(chats_at_engine(&fleet, "before").await > 0);
-        leave(&fleet, by).await;
-        wait_until("all routers to know", || async {
+        drain(&fleet, source).await;
+        wait_until("all routers to apply the drain", || async {
             chats_at_engine(&fleet, "meanwhile").await == 0
         })
         .await;
@@ -39,14 +39,14 @@
     });
 }
 
-async fn leave(fleet: &Fleet, by: By) {
+async fn drain(fleet: &Fleet, source: DrainSource) {
     let engine = &fleet.engines[1];
-    match by {
-        By::List => {
+    match source {
+        DrainSource::List => {
             let line = json!({ "name": engine.name, "kind": "upstream", "leaving": true });
             put(fleet.platform.addr, "/hosts", &line.to_string()).await;
         }
-        By::Configuration => {
+        DrainSource::Configuration => {
             let Op::PutUpstream(mut drained) = upstream(engine, "draft", 1) else {
                 panic!("not an upstream");
             };
@@ -56,7 +56,7 @@
     }
 }
 
-/// Sends 12 chats, four to each router; tells how many of them ran at engine 1.
+/// Sends 12 chats, four to each router, and returns how many of them ran at engine 1.
 async fn chats_at_engine(fleet: &Fleet, name: &str) -> usize {
     let before = runs(fleet).await;
     for i in 0..12 {
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -1,5 +1,5 @@
-//! The load patterns of the decisions, on a virtual clock with fixed seeds, each with the module off
-//! (plain consistent hashing, first in first out) and on, judged by what callers receive.
+//! Load patterns for the decision module, on a virtual clock with fixed seeds, each with the module
+//! off (plain consistent hashing, first in first out) and on, judged by what callers receive.
 
 #[allow(dead_code, reason = "the tables use the rest")]
 #[path = "../benches/policies/sim/mod.rs"]
@@ -32,8 +32,9 @@
     out.refused_at_once as f64 / out.refusals.max(1) as f64
 }
 
-/// For five seconds everybody sends eight times as much: a shift starts. First come, first served,
-/// the few mechanics wait behind the crowd. With fair queues they hardly notice, and nobody is lost.
+/// For five seconds every account sends eight times its usual load. First in first out, the few
+/// requests of small accounts wait behind the rest. With fair queues their latency hardly changes,
+/// and none is lost.
 #[test]
 fn burst_does_not_make_small_accounts_wait() {
     let surge = Some(Surge {
@@ -44,17 +45,20 @@
     });
     let setup = Setup { surge, ..BASE };
     let (off, on) = (off(&setup), run(&setup));
-    let (was, is) = (
+    let (off_s, on_s) = (
         small_p99_s(&off, &off.waits_ms),
         small_p99_s(&on, &on.waits_ms),
     );
-    assert!(is < 0.5 * was, "small accounts wait {is} s, off {was} s");
+    assert!(
+        on_s < 0.5 * off_s,
+        "p99 wait of small accounts: {on_s} s, off {off_s} s"
+    );
     assert_eq!(on.late, 0);
 }
 
-/// The largest account sends ten times its usual rate for two minutes. First come, first served,
-/// everybody's answers come minutes late. With shares by weight the small accounts' answers take
-/// hardly longer than on a calm day, and the large one is told at once when to come back.
+/// The largest account sends ten times its usual rate for two minutes. First in first out, every
+/// account's answers are minutes late. With weighted shares the small accounts' latency hardly
+/// rises, and the large account is refused at once with a retry time.
 #[test]
 fn hot_caller_delays_only_itself() {
     let surge = Some(Surge {
@@ -64,24 +68,30 @@
         largest_only: true,
     });
     let setup = Setup { surge, ..BASE };
-    let (calm, off, on) = (run(&BASE), off(&setup), run(&setup));
-    let base = small_p99_s(&calm, &calm.answers_ms);
-    let (was, is) = (
+    let (baseline, off, on) = (run(&BASE), off(&setup), run(&setup));
+    let baseline_s = small_p99_s(&baseline, &baseline.answers_ms);
+    let (off_s, on_s) = (
         small_p99_s(&off, &off.answers_ms),
         small_p99_s(&on, &on.answers_ms),
     );
-    assert!(was > 3.0 * base, "off: {was} s, calm {base} s");
-    assert!(is <= 1.2 * base, "on: {is} s, calm {base} s");
+    assert!(
+        off_s > 3.0 * baseline_s,
+        "off: {off_s} s, baseline {baseline_s} s"
+    );
+    assert!(
+        on_s <= 1.2 * baseline_s,
+        "on: {on_s} s, baseline {baseline_s} s"
+    );
     assert!(refused_at_once(&on) > 0.99);
     let share = on.refusals as f64 / on.answered as f64;
     assert!(
         on.late == 0 && share > 0.1,
-        "the surge was refused: {share}"
+        "late answers, or too few refusals: {share} per answer"
     );
 }
 
-/// A fifth of all requests are for one shared prompt. Hashing sends them all to one engine, whose
-/// callers wait for minutes while the others idle. The bound spreads them over several.
+/// A fifth of all requests share one prompt. Hashing sends them all to one engine, whose callers
+/// wait for minutes while the other engines idle. The load bound spreads them over several.
 #[test]
 fn hot_key_spreads_over_engines() {
     let setup = Setup {
@@ -96,9 +106,10 @@
 }
 
 /// One engine takes four times as long. Its chats keep coming, and its queue grows without end.
-/// By work in flight it is as full as the others with a quarter of the jobs, so it gets fewer.
+/// Counted by work in flight it is as full as the other engines with a quarter of the jobs, so it
+/// gets fewer.
 #[test]
-fn slow_engine_gets_less() {
+fn slow_engine_gets_fewer_jobs() {
     let setup = Setup { slow: 4.0, ..BASE };
     let (off, on) = (off(&setup), run(&setup));
     let p99 = |out: &Outcome| quantile(&out.waits_ms.concat(), 0.99) / 1e3;
@@ -116,16 +127,19 @@
         ..BASE
     };
     let (off, on) = (off(&setup), run(&setup));
-    let (was, is) = (
+    let (off_s, on_s) = (
         quantile(&off.short_waits_ms, 0.99) / 1e3,
         quantile(&on.short_waits_ms, 0.99) / 1e3,
     );
-    assert!(is < 0.5 * was, "short jobs wait {is} s, off {was} s");
+    assert!(
+        on_s < 0.5 * off_s,
+        "p99 wait of short jobs: {on_s} s, off {off_s} s"
+    );
 }
 
-/// Work comes at one and a half and at three times what the engines can do. First come, first
-/// served, answers soon come too late for everybody. With early refusals the engines do as much in
-/// time as at full load, and the refused know at once when to come back.
+/// Work arrives at one and a half and at three times the engines' capacity. First in first out,
+/// soon every answer is late. With early refusals the engines complete as much in time as at full
+/// load, and refused callers get a retry time at once.
 #[test]
 fn overload_keeps_goodput() {
     let at = |load| Setup { load, ..BASE };
@@ -140,8 +154,8 @@
     }
 }
 
-/// Work comes at three times what the engines can do, for a minute, then at half. Everybody who was
-/// refused comes back. A minute later nothing of it may be left: no second peak.
+/// Work arrives at three times the engines' capacity for a minute, then at half. Every refused
+/// caller retries. A minute later the load must be back to normal, without a second peak.
 #[test]
 fn overload_ends_without_a_second_peak() {
     let surge = Some(Surge {
@@ -161,7 +175,7 @@
     assert!(quantile(&waits, 0.99) < 500.0, "{}", quantile(&waits, 0.99));
 }
 
-/// Load reports are a second old, and one in five is lost. The bound must hold all the same: each
+/// Load reports are a second old, and one in five is lost. The bound must still hold, because each
 /// home knows its own work exactly.
 #[test]
 fn stale_and_missing_reports_keep_the_bound() {
@@ -174,10 +188,10 @@
     assert!(quantile(&on.skews, 0.99) < 1.3);
 }
 
-/// Engines go and new ones come, one in ten a minute. Returning chats must find their prefix at least
-/// as often as with plain hashing, whose busiest engine holds twice the mean.
+/// Engines leave and join, one in ten a minute. Returning chats must find their prefix cached at
+/// least as often as with plain hashing, whose busiest engine carries twice the mean.
 #[test]
-fn replaced_engines_leave_most_chats_warm() {
+fn replaced_engines_keep_most_prefixes_cached() {
     let setup = Setup {
         churn: 0.17,
         load: 0.7,
--- a/tests/long_run.rs
+++ b/tests/long_run.rs
@@ -1,13 +1,13 @@
-//! The long randomised run, short, with fixed seeds.
+//! The randomised long run in a short form, with fixed seeds.
 
 use std::path::Path;
 use std::process::Command;
 
 use test_case::test_case;
 
-/// Faults drawn from the seed meet mixed load; the run itself holds what callers were told against
-/// the upstreams' records. Which requests meet which fault varies with the machine; that nothing
-/// untrue is told does not.
+/// Faults drawn from the seed meet mixed load; the run itself compares what callers received with
+/// the upstreams' records. Which requests meet which fault varies with the machine, but no answer
+/// may contradict the records.
 #[test_case(2)]
 #[test_case(7)]
 fn nothing_untrue_is_told(seed: u32) {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over a small fake network.
+//! Membership over a small simulated network.
 
 #[path = "support/net.rs"]
 mod net;
@@ -11,42 +11,42 @@
 use rand::Rng;
 use test_case::test_case;
 
-/// A router crashes. Its upstreams have no home until the others know: every one of them must
-/// learn it, by its own probe or by rumour.
+/// A router crashes. Its upstreams have no home until the other routers detect it: each of them
+/// must learn it, by its own probe or by gossip.
 #[test]
-fn crash_is_known_to_all() {
+fn crash_is_detected_by_all_members() {
     let mut net = Net::start(20, 5_000);
     net.nodes[3].up = false;
-    net.until(20_000, |net| net.all_say(3, MemberState::Dead));
+    net.run_until(20_000, |net| net.all_see(3, MemberState::Dead));
 }
 
-/// A router is paused for less than the suspicion lasts, say by its host. Others suspect it; when
-/// it runs again it hears that, refutes, and nobody gives it up.
+/// A router is paused for less than the suspicion timeout. Others suspect it; when it runs again it
+/// learns that, refutes, and no router declares it dead.
 #[test]
 fn frozen_member_refutes() {
     let mut net = Net::start(9, 5_000);
     net.nodes[2].frozen_until_ms = net.now_ms + 1_800;
-    net.until(1_800, |net| {
+    net.run_until(1_800, |net| {
         (0..9).any(|i| net.state(i, 2) == MemberState::Suspect)
     });
     let end_ms = net.now_ms + 10_000;
     while net.now_ms < end_ms {
         net.run(10);
-        let given_up = (0..9).any(|i| net.state(i, 2) == MemberState::Dead);
-        assert!(!given_up);
+        let declared_dead = (0..9).any(|i| net.state(i, 2) == MemberState::Dead);
+        assert!(!declared_dead);
     }
-    assert!(net.all_say(2, MemberState::Alive));
+    assert!(net.all_see(2, MemberState::Alive));
     assert!(net.nodes[2].swim.me().incarnation > 1_000, "refuted");
 }
 
-/// A router is paused until all have given it up and its upstreams have other homes. When it wakes
-/// it still believes to be home: it must doubt that before it does anything, and come back as a
-/// newer incarnation once it was told.
+/// A router is paused until all have declared it dead and its upstreams have other homes. On
+/// waking, its state still says that it is home: it must distrust that before it acts, and rejoin
+/// with a higher incarnation once it learns of its death.
 #[test]
-fn woken_router_doubts_first() {
+fn woken_router_distrusts_its_own_state() {
     let mut net = Net::start(9, 5_000);
     net.nodes[2].frozen_until_ms = net.now_ms + 30_000;
-    net.until(29_000, |net| net.all_say(2, MemberState::Dead));
+    net.run_until(29_000, |net| net.all_see(2, MemberState::Dead));
     while net.nodes[2].frozen_until_ms > net.now_ms {
         net.run(10);
     }
@@ -55,51 +55,51 @@
         net.nodes[2].swim.tick(now_ms, &mut net.rng)
     };
     assert!(net.nodes[2].swim.in_doubt());
-    assert_eq!(net.state(2, 2), MemberState::Leaving, "takes no work");
+    assert_eq!(net.state(2, 2), MemberState::Leaving, "accepts no work");
     net.send(2, out);
-    net.until(20_000, |net| net.all_say(2, MemberState::Alive));
+    net.run_until(20_000, |net| net.all_see(2, MemberState::Alive));
     assert!(!net.nodes[2].swim.in_doubt());
     assert!(net.nodes[2].swim.me().incarnation > 1_000, "refuted");
 }
 
-/// A region is cut off for minutes and comes back. Each side gives the other up and serves alone;
-/// afterwards both must find one another again, though each holds the other for dead.
+/// A region is partitioned for minutes. Each side declares the other dead and serves alone;
+/// afterwards the two sides must merge again, although each lists the other as dead.
 #[test]
 fn partition_heals() {
     let mut net = Net::start(12, 5_000);
     for node in &mut net.nodes[8..] {
-        node.side = 1;
+        node.partition = 1;
     }
-    net.until(60_000, |net| {
+    net.run_until(60_000, |net| {
         (8..12).all(|i| net.state(0, i) == MemberState::Dead)
             && (0..8).all(|i| net.state(8, i) == MemberState::Dead)
     });
     net.run(120_000);
     for node in &mut net.nodes[8..] {
-        node.side = 0;
+        node.partition = 0;
     }
-    net.until(60_000, |net| {
-        net.all_agree() && (0..12).all(|i| net.all_say(i, MemberState::Alive))
+    net.run_until(60_000, |net| {
+        net.views_agree() && (0..12).all(|i| net.all_see(i, MemberState::Alive))
     });
 }
 
-/// A host is replaced at once by another under the same name and address. What was believed of the
-/// first, even its death, must not stick to the second.
+/// A host is replaced at once by another under the same name and address. The state of the first,
+/// even its death, must not apply to the second.
 #[test]
-fn replaced_host_is_new() {
+fn replaced_host_does_not_inherit_state() {
     let mut net = Net::start(9, 5_000);
     net.nodes[4].up = false;
-    net.until(20_000, |net| net.all_say(4, MemberState::Dead));
+    net.run_until(20_000, |net| net.all_see(4, MemberState::Dead));
     net.replace(4, 50_000);
-    net.until(20_000, |net| net.all_say(4, MemberState::Alive));
+    net.run_until(20_000, |net| net.all_see(4, MemberState::Alive));
     let view = net.nodes[0].swim.view();
     assert_eq!(view.get("host-4").unwrap().incarnation, 50_000);
 }
 
-/// A cut-off router's host was replaced under its name. When the old process comes back it meets
-/// a higher incarnation of its own name: it must step back for good, not refute.
+/// A partitioned router's host was replaced under its name. When the old process reconnects it
+/// meets a higher incarnation of its own name: it must step down for good, not refute.
 #[test]
-fn replaced_process_steps_back() {
+fn replaced_process_steps_down() {
     let mut net = Net::start(3, 15_000);
     let now_ms = net.now_ms;
     let old = &mut net.nodes[1].swim;
@@ -110,8 +110,8 @@
     assert_eq!(old.me().incarnation, 1_000, "not refuted");
 }
 
-/// A host that comes and goes: the last thing that happened stands with all, whatever the order
-/// in which they heard of it.
+/// A host repeatedly leaves and joins: its last state wins at every member, in whatever order the
+/// updates arrived.
 #[test]
 fn flapping_member_settles() {
     let mut net = Net::start(9, 5_000);
@@ -121,23 +121,24 @@
         net.replace(5, 10_000 + flap);
         net.run(500);
     }
-    net.until(20_000, |net| net.all_say(5, MemberState::Alive));
+    net.run_until(20_000, |net| net.all_see(5, MemberState::Alive));
     net.nodes[5].up = false;
-    net.until(20_000, |net| net.all_say(5, MemberState::Dead));
+    net.run_until(20_000, |net| net.all_see(5, MemberState::Dead));
 }
 
-/// A planned leave is known to all long before its probes could fail, and isn't suspected.
+/// A planned leave reaches all members long before probes could fail, and is not suspected.
 #[test]
 fn leave_spreads_without_suspicion() {
     let mut net = Net::start(20, 5_000);
     let now_ms = net.now_ms;
     net.nodes[6].swim.leave(now_ms);
-    net.until(10_000, |net| net.all_say(6, MemberState::Leaving));
+    net.run_until(10_000, |net| net.all_see(6, MemberState::Leaving));
 }
 
-/// One datagram in twenty is lost and routers stall for 200 ms now and then: slow isn't dead.
+/// One datagram in twenty is lost and routers occasionally stall for 200 ms: no slow router may be
+/// declared dead.
 #[test]
-fn loss_and_stalls_remove_nobody() {
+fn loss_and_stalls_declare_no_member_dead() {
     let mut net = Net::start(20, 5_000);
     net.loss = 0.05;
     for _ in 0..600 {
@@ -145,13 +146,13 @@
         net.nodes[stalled].frozen_until_ms = net.now_ms + 200;
         net.run(100);
         for of in 0..20 {
-            let given_up = (0..20).any(|at| net.state(at, of) == MemberState::Dead);
-            assert!(!given_up, "host-{of} at {} ms", net.now_ms);
+            let declared_dead = (0..20).any(|at| net.state(at, of) == MemberState::Dead);
+            assert!(!declared_dead, "host-{of} at {} ms", net.now_ms);
         }
     }
 }
 
-/// Stray answers and unknown hosts move nothing.
+/// Stray acknowledgements and unknown hosts change no state.
 #[test]
 fn stray_messages_are_harmless() {
     let mut net = Net::start(3, 5_000);
@@ -173,24 +174,24 @@
     assert_eq!(swim.view().members, before.members);
 }
 
-/// A router is killed and starts again, and its host's clock steps back by minutes in between: its incarnation is lower
-/// than the one that the others hold for dead or alive. They must take it for alive all the same, and it mustn't take
-/// itself for replaced by the one before.
-#[test_case(true; "held for dead")]
-#[test_case(false; "held for alive")]
-fn router_that_starts_by_a_clock_stepped_back_is_alive(was_given_up: bool) {
+/// A router is killed and restarts after its host's clock stepped back by minutes, so its
+/// incarnation is lower than the one that the other members list as dead or alive. They must still
+/// accept it as alive, and it must not treat the old incarnation as its replacement.
+#[test_case(true; "listed as dead")]
+#[test_case(false; "listed as alive")]
+fn router_restarted_after_a_clock_step_back_is_alive(was_declared_dead: bool) {
     const BEFORE: u64 = 500_000;
     let mut net = Net::start(9, 5_000);
     net.replace(4, BEFORE);
-    net.until(20_000, |net| net.all_say(4, MemberState::Alive));
+    net.run_until(20_000, |net| net.all_see(4, MemberState::Alive));
     net.run(15_000);
     net.nodes[4].up = false;
-    if was_given_up {
-        net.until(20_000, |net| net.all_say(4, MemberState::Dead));
+    if was_declared_dead {
+        net.run_until(20_000, |net| net.all_see(4, MemberState::Dead));
     }
     net.replace(4, 1_000);
     net.run(20_000);
-    assert!(net.all_say(4, MemberState::Alive));
+    assert!(net.all_see(4, MemberState::Alive));
     assert!(!net.nodes[4].swim.replaced());
     assert!(net.nodes[4].swim.me().incarnation > BEFORE);
 }
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -1,4 +1,4 @@
-//! What a router tells its operators: metrics, health, readiness and log lines.
+//! What operators see of a router: metrics, health, readiness and log lines.
 
 mod support;
 
@@ -13,12 +13,12 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// The sum of a metric's samples whose line starts so, over all routers.
-async fn sum(fleet: &Fleet, start: &str) -> f64 {
+/// Sums a metric's samples whose lines have this prefix, over all routers.
+async fn sum_samples(fleet: &Fleet, prefix: &str) -> f64 {
     let mut sum = 0.0;
     for i in 0..SHAPE.routers {
         let page = get(fleet.admin(i), "/metrics").await.unwrap();
-        let lines = page.lines().filter(|l| l.starts_with(start));
+        let lines = page.lines().filter(|l| l.starts_with(prefix));
         let values = lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok());
         sum += values.sum::<f64>();
     }
@@ -33,7 +33,7 @@
         let answer = call(fleet.caller(i % 2), "POST", CHAT, &[], &body)
             .await
             .unwrap();
-        assert!(answer.whole);
+        assert!(answer.complete);
     }
     let ticket = call(fleet.caller(0), "POST", "/records/tickets", &[], "7")
         .await
@@ -44,37 +44,49 @@
         format!("cassiagrade_requests_total{{outcome=\"{outcome}\",service=\"{service}\"}}")
     };
     let draft = requests("draft", "answered");
-    // The count follows the last byte.
-    wait_until("the count", || async { sum(&fleet, &draft).await == 8.0 }).await;
+    // The counter is updated after the last byte is sent.
+    wait_until("the request counter", || async {
+        sum_samples(&fleet, &draft).await == 8.0
+    })
+    .await;
     let records = requests("records", "answered");
-    wait_until("the count", || async { sum(&fleet, &records).await == 1.0 }).await;
-    assert_eq!(sum(&fleet, &requests("none", "refused")).await, 1.0);
+    wait_until("the request counter", || async {
+        sum_samples(&fleet, &records).await == 1.0
+    })
+    .await;
+    assert_eq!(sum_samples(&fleet, &requests("none", "refused")).await, 1.0);
     assert_eq!(
-        sum(&fleet, "cassiagrade_refusals_total{cause=\"bad_request\"}").await,
+        sum_samples(&fleet, "cassiagrade_refusals_total{cause=\"bad_request\"}").await,
         1.0
     );
-    assert_eq!(sum(&fleet, "cassiagrade_queue_wait_ms_count").await, 9.0);
     assert_eq!(
-        sum(&fleet, "cassiagrade_first_byte_ms_count{service=\"draft\"}").await,
+        sum_samples(&fleet, "cassiagrade_queue_wait_ms_count").await,
+        9.0
+    );
+    assert_eq!(
+        sum_samples(&fleet, "cassiagrade_first_byte_ms_count{service=\"draft\"}").await,
         8.0
     );
-    assert_eq!(sum(&fleet, "cassiagrade_requests_in_flight").await, 0.0);
-    assert!(sum(&fleet, "cassiagrade_hops_total").await > 0.0);
-    assert!(sum(&fleet, "cassiagrade_prompt_tokens_total{cached=\"no\"}").await > 0.0);
-    assert!(sum(&fleet, "cassiagrade_log_append_ms_count").await > 0.0);
+    assert_eq!(
+        sum_samples(&fleet, "cassiagrade_requests_in_flight").await,
+        0.0
+    );
+    assert!(sum_samples(&fleet, "cassiagrade_hops_total").await > 0.0);
+    assert!(sum_samples(&fleet, "cassiagrade_prompt_tokens_total{cached=\"no\"}").await > 0.0);
+    assert!(sum_samples(&fleet, "cassiagrade_log_append_ms_count").await > 0.0);
     assert!(
-        sum(
+        sum_samples(
             &fleet,
             "cassiagrade_control_bytes_total{kind=\"ack\",way=\"sent\"}"
         )
         .await
             > 0.0
     );
-    // Routers that start ask another for all members, and its answer counts too.
+    // Routers that start request all members from a peer, and that reply counts too.
     let members =
         |way: &str| format!("cassiagrade_control_bytes_total{{kind=\"members\",way=\"{way}\"}}");
     for way in ["sent", "received"] {
-        assert!(sum(&fleet, &members(way)).await > 0.0, "{way}");
+        assert!(sum_samples(&fleet, &members(way)).await > 0.0, "{way}");
     }
     let page = get(fleet.admin(0), "/metrics").await.unwrap();
     assert!(
@@ -83,10 +95,10 @@
     );
 }
 
-/// A router that has never read a configuration would refuse every caller: it says that it isn't
-/// ready, and why, though it is healthy.
+/// A router that has never read a configuration would refuse every caller: it reports that it is
+/// not ready, and why, though it is healthy.
 #[compio::test]
-async fn readiness_says_why_not() {
+async fn readiness_reports_the_reason() {
     let work = WorkDir::new();
     let mut listeners = Vec::new();
     for _ in 0..4 {
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -29,10 +29,10 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// Operators order versions through three routers in turn. Each order is in force when it is told as
-/// done, and its fencing number is greater than the one before.
+/// Operators order versions through three routers in turn. Each order reported as done is in force,
+/// and its fencing number is greater than the one before.
 #[compio::test]
-async fn orders_take_turns() {
+async fn orders_are_serialised_across_routers() {
     let fleet = Fleet::start(SHAPE).await;
     let mut last = None;
     for router in 0..3 {
@@ -45,8 +45,8 @@
     }
 }
 
-/// An engine ignores fencing numbers. A router that takes the lease over from another is told to come
-/// back after the engine's longest pause, and only then gives its order.
+/// An engine ignores fencing numbers. A router that takes over the lease is refused with a retry
+/// time that covers the engine's longest pause, and only gives its order after that.
 #[compio::test]
 async fn upstream_without_fencing_waits_for_the_old_order() {
     let fleet = Fleet::start(SHAPE).await;
@@ -69,15 +69,18 @@
         "{early:?}"
     );
     assert_eq!(loaded(&fleet).await["values"]["load_version"], "v1");
-    wait_until("the order", || async { order(&fleet, 1, "v2").await.done }).await;
+    wait_until("the order to be done", || async {
+        order(&fleet, 1, "v2").await.done
+    })
+    .await;
     assert_eq!(loaded(&fleet).await["values"]["load_version"], "v2");
-    // Its lease was ended or runs out; a third router still may not order at once.
+    // The lease was released or expires; even so, a third router may not order at once.
     let third = order(&fleet, 2, "v3").await;
     assert!(!third.done, "{third:?}");
 }
 
-/// With the log down no router can know who else gives orders: none is given, and the operator is
-/// told so at once.
+/// With the log down a router cannot know which other routers give orders: it gives none and
+/// refuses the operator at once.
 #[compio::test]
 async fn no_order_without_a_lease() {
     let fleet = Fleet::start(SHAPE).await;
@@ -89,8 +92,8 @@
     assert!(values.get("load_version").is_none(), "{values}");
 }
 
-/// The weight store gives out one version a second. Both engines are ordered to load at once; the
-/// second waits for the store, and each order is in force when it is told as done.
+/// The weight store delivers one version a second. Both engines are ordered to load at once; the
+/// second waits for the store, and each order reported as done is in force.
 #[compio::test]
 async fn orders_wait_for_the_weight_store() {
     let fleet = Fleet::start(SHAPE).await;
@@ -116,6 +119,6 @@
     };
     let (first, second) = futures_util::join!(first, second);
     assert!(first.done && second.done, "{first:?} {second:?}");
-    let given = get(fleet.platform.addr, "/weights").await.unwrap();
-    assert_eq!(given, "2");
+    let delivered = get(fleet.platform.addr, "/weights").await.unwrap();
+    assert_eq!(delivered, "2");
 }
--- a/tests/proof_1_load_bound.rs
+++ b/tests/proof_1_load_bound.rs
@@ -1,4 +1,5 @@
-//! No engine carries more than a set multiple of the mean, also while views differ.
+//! No engine carries more than a fixed multiple of the mean load, even while the routers' views
+//! differ.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use futures_util::future::join_all;
 use serde_json::{Value, json};
 use support::{
-    ACCOUNT_KEY, Caller, Fleet, LARGEST_KEY, Options, Received, Told, chat_body, set_knobs,
+    ACCOUNT_KEY, CallOutcome, Caller, Fleet, LARGEST_KEY, Options, Received, chat_body, set_knobs,
     sleep_ms,
 };
 use tokio::sync::Mutex;
@@ -16,35 +17,34 @@
 const ENGINES: u8 = 6;
 const CALLERS: usize = 100;
 const REGULAR_CALLERS: usize = 25;
-const CALM_MS: u64 = 1_500;
+const WARMUP_MS: u64 = 1_500;
 const SAMPLES: usize = 120;
-/// Samples with fewer jobs than this tell nothing of a balance.
+/// Samples with fewer jobs than this are too small to show a balance.
 const MIN_JOBS: usize = 45;
 
-/// The median of busiest over mean that holds when every view agrees: 1 + epsilon in work, which
-/// is up to 1.46 in jobs as an observer counts them. Without the bound it is 1.9.
+/// The highest accepted median of busiest over mean when all views agree: 1 + epsilon in work,
+/// which is up to 1.46 in jobs as counted from outside. Without the bound it is 1.9.
 const BOUND: f64 = 1.7;
-/// With views that differ two homes may each fill an engine to its bound, as each knows its own
-/// jobs only: twice 1 + epsilon. Without the bound it is 3.2.
+/// While views differ, two homes may each fill an engine to its bound, because each knows only its
+/// own jobs: twice 1 + epsilon. Without the bound it is 3.2.
 const BOUND_WHILE_VIEWS_DIFFER: f64 = 2.5;
 
-/// The two surges would disturb one another.
+/// The two surges would disturb one another's measurements.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::const_new(());
 
-/// Jobs running and waiting at each engine, asked at the same moment.
+/// Jobs running and waiting at each engine, sampled concurrently.
 async fn jobs(client: &Caller, engines: &[SocketAddr]) -> Option<Vec<usize>> {
-    let asks = engines.iter().map(|addr| async move {
+    let loads = engines.iter().map(|addr| async move {
         let received = client.call(*addr, "GET", "/load", &[], "").await?;
         let load: Value = serde_json::from_str(&received.body).ok()?;
         let count = |name: &str| load[name].as_u64().unwrap_or(0);
         usize::try_from(count("running") + count("waiting")).ok()
     });
-    join_all(asks).await.into_iter().collect()
+    join_all(loads).await.into_iter().collect()
 }
 
-/// Samples the engines while the surge lasts, then ends it; returns the median of busiest over
-/// mean.
-async fn watch(engines: &[SocketAddr], surging: &Cell<bool>, ended: &Cell<bool>) -> f64 {
+/// Samples the engines during the surge, then ends it; returns the median of busiest over mean.
+async fn sample_skew(engines: &[SocketAddr], surging: &Cell<bool>, ended: &Cell<bool>) -> f64 {
     let client = Caller::new("");
     let mut skews = Vec::new();
     while skews.len() < SAMPLES {
@@ -66,8 +66,8 @@
     median
 }
 
-/// Callers in the middle of their day, then three times as many of the largest account at once,
-/// two thirds in one long chat, each asking again when it is answered.
+/// Regular load, then three times as many callers of the largest account at once, two thirds of
+/// them in one long chat, each sending its next request when it is answered.
 async fn surge(
     fleet: &Fleet,
     routers: u8,
@@ -81,7 +81,7 @@
         let caller = Caller::new(if regular { ACCOUNT_KEY } else { LARGEST_KEY });
         async move {
             if !regular {
-                sleep_ms(CALM_MS).await;
+                sleep_ms(WARMUP_MS).await;
                 surging.set(true);
             }
             let mut received = Vec::new();
@@ -110,11 +110,14 @@
 }
 
 fn served(received: &[Received]) -> usize {
-    received.iter().filter(|r| r.told() == Told::Served).count()
+    received
+        .iter()
+        .filter(|r| r.outcome() == CallOutcome::Served)
+        .count()
 }
 
-/// Logbogshuset's night shift asks for defect summaries from one very long logbook at once. Its
-/// prefix is cached at one engine; without a bound that engine queues while others idle.
+/// The largest account sends many requests with one long shared prefix at once. The prefix is
+/// cached at one engine; without a bound that engine queues while others idle.
 #[compio::test]
 async fn surge_of_the_largest_account_stays_under_the_bound() {
     let _alone = ONE_AT_A_TIME.lock().await;
@@ -123,16 +126,17 @@
     let (surging, ended) = (Cell::new(false), Cell::new(false));
     let (received, skew) = futures_util::join!(
         surge(&fleet, 4, &surging, &ended),
-        watch(&engines, &surging, &ended)
+        sample_skew(&engines, &surging, &ended)
     );
     println!("{} served", served(&received));
     assert!(served(&received) > 0);
     assert!(skew <= BOUND, "busiest engine at {skew:.2} of the mean");
 }
 
-/// The same surge while one router is frozen and woken, so that others take its upstreams over and
-/// it believes itself their home still, and while the list of hosts lags. Two homes admit to one
-/// engine for seconds; without a check against the engine's own report they fill it twice.
+/// The same surge while one router is repeatedly frozen and woken, so that others take over its
+/// upstreams while its own state still says that it is their home, and while the list of hosts is
+/// stale. Two homes admit to one engine for seconds; without a check against the engine's own
+/// report they would fill it twice.
 #[compio::test]
 async fn bound_holds_while_views_differ() {
     let _alone = ONE_AT_A_TIME.lock().await;
@@ -145,12 +149,12 @@
             sleep_ms(300).await;
             fleet.routers[3].freeze();
             sleep_ms(1_200).await;
-            fleet.routers[3].wake();
+            fleet.routers[3].unfreeze();
         }
     };
     let (received, skew, ()) = futures_util::join!(
         surge(&fleet, 3, &surging, &ended),
-        watch(&engines, &surging, &ended),
+        sample_skew(&engines, &surging, &ended),
         faults
     );
     println!("{} served while views differ", served(&received));
--- a/tests/proof_3_not_run.rs
+++ b/tests/proof_3_not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is true: no refusal that says so has a run in any upstream's record.
+//! "Not run" is true: no request that was refused as not run is in any upstream's record.
 
 mod support;
 
@@ -6,24 +6,29 @@
 use futures_util::future::join_all;
 use serde_json::json;
 use support::{
-    ACCOUNT_KEY, Caller, Fleet, Options, Received, Told, chat_body, policy, set_knobs, sleep_ms,
+    ACCOUNT_KEY, CallOutcome, Caller, Fleet, Options, Received, chat_body, policy, set_knobs,
+    sleep_ms,
 };
 
-/// Each refusal that says "not run", held against the record; returns how many there were.
+/// Checks each "not run" refusal against the upstreams' records and returns how many there were.
 fn check(fleet: &Fleet, received: &[Received]) -> usize {
     let runs = fleet.runs();
     let refused: Vec<&Received> = received.iter().filter(|r| r.not_run()).collect();
     for refusal in &refused {
         let id = refusal.header("x-request-id");
         assert!(!id.is_empty(), "{refusal:?}");
-        assert_eq!(runs.of_request(id), 0, "told \"not run\": {refusal:?}");
+        assert_eq!(
+            runs.count_by_request(id),
+            0,
+            "refused as not run: {refusal:?}"
+        );
     }
     refused.len()
 }
 
-/// A mechanic asks for a diagnosis while engines die one after another. Some requests run halfway
-/// at an engine that is killed; others never reach one. A refusal that says "not run" for one of
-/// the first kind makes its caller send work again that was done.
+/// Engines die one after another under load. Some requests run halfway at an engine that is killed;
+/// others never reach one. A false "not run" for the first kind would make the caller repeat work
+/// that was done.
 #[compio::test]
 async fn refusals_are_true_while_engines_are_killed() {
     let mut fleet = Fleet::start_with(Options::new(3, 3, 1)).await;
@@ -48,13 +53,13 @@
     let (received, ()) = futures_util::join!(load, faults);
     let received: Vec<Received> = received.into_iter().flatten().collect();
     let refused = check(&fleet, &received);
-    assert!(refused > 0, "with every engine dead some must be refused");
+    assert!(refused > 0, "no request was refused with every engine dead");
 }
 
-/// A clerk's call reaches the counter service, which runs it and loses the reply. Two failures at
-/// once: the log has an outage too. "Not run" would make the clerk print a second slip.
+/// An upstream runs a request and loses the reply while the log is down too. A false "not run"
+/// would make the caller run it again.
 #[compio::test]
-async fn lost_replies_are_never_told_as_not_run() {
+async fn lost_replies_are_never_refused_as_not_run() {
     let fleet = Fleet::start_with(Options::new(3, 0, 2)).await;
     for plain in &fleet.plains {
         set_knobs(plain.addr, &json!({ "drop_replies": 10 })).await;
@@ -76,14 +81,14 @@
         }
     });
     let received: Vec<Received> = join_all(calls).await.into_iter().flatten().collect();
-    assert_eq!(received.len(), 30, "every caller is answered");
+    assert_eq!(received.len(), 30, "some caller got no answer");
     check(&fleet, &received);
 }
 
-/// A surge meets two small engines with short queues: most callers are refused at once. None of
-/// the refused may have run, and every one is told when to come back.
+/// A surge meets two small engines with short queues: most callers are refused at once. None of the
+/// refused requests may have run, and every refusal has a retry time.
 #[compio::test]
-async fn overload_refusals_are_true_and_name_a_time() {
+async fn overload_refusals_are_true_and_have_a_retry_time() {
     let mut options = Options::new(3, 2, 0);
     options.engine = r#"{"slots": 4, "step_ms": 5}"#.to_owned();
     let fleet = Fleet::start_with(options).await;
@@ -101,16 +106,17 @@
         }
     });
     let received: Vec<Received> = join_all(calls).await.into_iter().flatten().collect();
-    assert_eq!(received.len(), 400, "every caller is answered");
+    assert_eq!(received.len(), 400, "some caller got no answer");
     let refused = check(&fleet, &received);
     println!("refused {refused} of 400");
     assert!(
         refused > 0,
-        "400 at once are too many for two small engines"
+        "no request was refused with 400 concurrent requests"
     );
     for refusal in received.iter().filter(|r| r.not_run()) {
-        let told = refusal.told();
-        let named = matches!(&told, Told::Refused { retry_after_ms, .. } if *retry_after_ms > 0);
-        assert!(named, "no time to come back: {told:?}");
+        let outcome = refusal.outcome();
+        let has_retry_time =
+            matches!(&outcome, CallOutcome::Refused { retry_after_ms, .. } if *retry_after_ms > 0);
+        assert!(has_retry_time, "no retry time: {outcome:?}");
     }
 }
--- a/tests/proof_6_planned_stop.rs
+++ b/tests/proof_6_planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing, streams included.
+//! A planned stop cuts no answers, streams included.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use futures_util::future::join_all;
 use serde_json::json;
 use support::{
-    ACCOUNT_KEY, Caller, Fleet, Options, Received, Told, chat_body, expected_answer, sleep_ms,
+    ACCOUNT_KEY, CallOutcome, Caller, Fleet, Options, Received, chat_body, expected_answer,
+    sleep_ms,
 };
 
 const TOKENS: u32 = 60;
@@ -22,13 +23,16 @@
 
 fn check(prompt: &str, received: Option<&Received>) {
     let received = received.unwrap_or_else(|| panic!("{prompt}: no answer"));
-    assert_eq!(received.told(), Told::Served, "{prompt}: {received:?}");
+    assert_eq!(
+        received.outcome(),
+        CallOutcome::Served,
+        "{prompt}: {received:?}"
+    );
     assert_eq!(received.text(), expected_answer(prompt, TOKENS));
 }
 
-/// A host is to be replaced and its router told to stop while technicians read long drafts through
-/// it, others' drafts run at engines it is the home of, and a clerk's slip is being printed. If the
-/// stop cuts any of them, somebody reads half a draft.
+/// A router is stopped while callers stream through it, other routers' streams run at engines it is
+/// the home of, and plain calls are in flight. The stop must not cut any of them.
 #[compio::test]
 async fn streams_through_and_at_the_stopping_router_are_whole() {
     let mut fleet = Fleet::start_with(options(3)).await;
@@ -42,7 +46,7 @@
             (prompt, caller.chat(addr, &body).await)
         }
     });
-    let slips = (0..6_usize).map(|n| {
+    let plain_calls = (0..6_usize).map(|n| {
         let (caller, addr) = (caller.clone(), addrs[n % 3]);
         async move {
             sleep_ms(150).await;
@@ -51,25 +55,25 @@
     });
     let router = &fleet.routers[1];
     let stop = async {
-        // The slips are under way and every stream has begun.
+        // The plain calls are in flight and every stream has begun.
         sleep_ms(350).await;
         router.terminate();
     };
-    let (streams, slips, ()) = futures_util::join!(join_all(streams), join_all(slips), stop);
+    let (streams, plain_calls, ()) =
+        futures_util::join!(join_all(streams), join_all(plain_calls), stop);
     for (prompt, received) in &streams {
         check(prompt, received.as_ref());
     }
-    for slip in &slips {
-        let told = slip.as_ref().map(Received::told);
-        assert_eq!(told, Some(Told::Served), "{slip:?}");
+    for call in &plain_calls {
+        let outcome = call.as_ref().map(Received::outcome);
+        assert_eq!(outcome, Some(CallOutcome::Served), "{call:?}");
     }
     let status = fleet.routers[1].wait_exit().await;
     assert!(status.success(), "{status}");
 }
 
-/// All hosts are replaced one after another, under load, as on any working day, while an engine
-/// flaps. Callers who find a router gone take the next address, as the entry answer tells them;
-/// whoever was let in gets the whole answer.
+/// All hosts are replaced one after another under load. Callers that find a router stopped try the
+/// next address; every admitted request gets the whole answer.
 #[compio::test]
 async fn every_host_replaced_in_turn() {
     let mut fleet = Fleet::start_with(options(3)).await;
@@ -84,7 +88,7 @@
                 round += 1;
                 let prompt = format!("draft {n} {round}");
                 let body = chat_body(&format!("chat-{n}"), &prompt, TOKENS);
-                let received = enter(addrs, n, &body).await;
+                let received = chat_until_admitted(addrs, n, &body).await;
                 check(&prompt, received.as_ref());
             }
             round
@@ -108,9 +112,12 @@
     println!("{} streams whole", rounds.iter().sum::<usize>());
 }
 
-/// Tries the addresses in turn; a router that refuses the connection or says that it is stopping
-/// sends its caller on.
-async fn enter(addrs: &[std::net::SocketAddr], first: usize, body: &str) -> Option<Received> {
+/// Tries the addresses in turn, past routers that refuse the connection or answer "not run".
+async fn chat_until_admitted(
+    addrs: &[std::net::SocketAddr],
+    first: usize,
+    body: &str,
+) -> Option<Received> {
     for i in 0..60 {
         let caller = Caller::new(ACCOUNT_KEY);
         let received = caller.chat(addrs[(first + i) % addrs.len()], body).await;
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -14,11 +14,12 @@
     plains: 0,
 };
 const CHAT: &str = "/v1/chat/completions";
-/// Less than a router waits for another that it tells something.
-const STANDS_STILL: Duration = Duration::from_millis(500);
+/// Less than a router's timeout for publishing an update to a peer.
+const FREEZE_TIME: Duration = Duration::from_millis(500);
 
-/// One request kills its engine. The fleet runs it once more, at another, which dies too; then the
-/// caller is told. Sent again through each router, it must not take the two engines that are left.
+/// One request crashes its engine. The fleet retries it once, at another engine, which crashes too;
+/// then the caller is refused. Sent again through each router, the request must not crash the two
+/// engines that are left.
 #[compio::test]
 async fn crashing_request_takes_two_engines_at_most() {
     let fleet = Fleet::start(SHAPE).await;
@@ -27,13 +28,16 @@
     }
     let poison = chat_body("bad", "poison", 8);
     let first = call(fleet.caller(0), "POST", CHAT, &[], &poison).await;
-    let first = first.expect("an answer");
+    let first = first.expect("no answer");
     assert_eq!(first.status, 422, "{}", first.body);
     assert!(first.body.contains("\"quarantined\""), "{}", first.body);
-    assert!(!first.not_run(), "it ran");
+    assert!(
+        !first.not_run(),
+        "the request ran but was refused as not run"
+    );
     for router in 0..3 {
-        // The suspicion is on its way round for a moment; a router that holds it says "not run".
-        wait_until("the conviction to be known", || async {
+        // While the suspicion is still being published, a router that knows it answers "not run".
+        wait_until("the quarantine to be published", || async {
             let again = call(fleet.caller(router), "POST", CHAT, &[], &poison).await;
             again.is_some_and(|a| a.status == 422 && a.not_run())
         })
@@ -46,19 +50,19 @@
         answered += u32::from(good.is_some_and(|a| a.status == 200));
     }
     let events = fleet.events();
-    assert_eq!(answered, 6, "engines are left; events: {events:#?}");
+    assert_eq!(answered, 6, "other requests failed; events: {events:#?}");
 }
 
-/// A caller's request has crashed two engines, and it sends it again at once through another router. It is told of the
-/// conviction only after that router knows of it, though it stood still meanwhile: told earlier, the request would take
-/// the next two engines.
+/// A caller's request has crashed two engines, and the caller sends it again at once through
+/// another router that was frozen meanwhile. The caller is refused as quarantined only after that
+/// router knows of the quarantine: earlier, the resend would crash the next two engines.
 #[compio::test]
-async fn caller_hears_of_a_conviction_after_all_routers() {
+async fn quarantine_is_published_before_the_caller_is_refused() {
     let shape = Shape {
         engines: 2,
         ..SHAPE
     };
-    // Engines 0 and 1 have their homes in the data centres of routers 0 and 1.
+    // The homes of engines 0 and 1 are in the data centres of routers 0 and 1.
     let fleet = Fleet::start(shape).await;
     for engine in &fleet.engines {
         set_knobs(engine.addr, &json!({ "crash_marker": "poison" })).await;
@@ -66,20 +70,20 @@
     let poison = chat_body("bad", "poison", 8);
     fleet.routers[2].freeze();
     let mut first = Box::pin(call(fleet.caller(0), "POST", CHAT, &[], &poison));
-    let early = compio::time::timeout(STANDS_STILL, &mut first).await;
-    fleet.routers[2].wake();
-    assert!(early.is_err(), "told before router 2: {early:?}");
-    let first = first.await.expect("an answer");
+    let early = compio::time::timeout(FREEZE_TIME, &mut first).await;
+    fleet.routers[2].unfreeze();
+    assert!(early.is_err(), "refused before router 2 knew: {early:?}");
+    let first = first.await.expect("no answer");
     assert_eq!(first.status, 422, "{}", first.body);
     let again = call(fleet.caller(2), "POST", CHAT, &[], &poison).await;
-    let again = again.expect("an answer");
+    let again = again.expect("no answer");
     assert!(again.status == 422 && again.not_run(), "{}", again.body);
 }
 
-/// An account may send two requests a second in the whole fleet, and sends thirty. It gets a few
-/// answers; the others are refused at once, as not run, with the time to come back.
+/// An account limited to two requests a second in the whole fleet sends thirty. A few are served;
+/// the rest are refused at once, as not run, with a retry time.
 #[compio::test]
-async fn account_over_its_rate_is_told_when_to_come_back() {
+async fn account_over_its_rate_gets_a_retry_time() {
     let fleet = Fleet::start(SHAPE).await;
     let mut acme = account("acme", ACCOUNT_KEY);
     acme.rate_per_s = 2.0;
@@ -91,7 +95,7 @@
     for i in 0..30 {
         let body = chat_body(&format!("chat-{i}"), "a label", 1);
         let answer = call(fleet.caller(i % 3), "POST", CHAT, &[], &body).await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no answer");
         if answer.status == 200 {
             served += 1;
             continue;
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Answers that break off midway are picked up again.
+//! Answers that break off midway are resumed.
 
 mod support;
 
@@ -15,8 +15,8 @@
 };
 const TOKENS: u32 = 60;
 
-/// The connection to the engine is cut after the first token. The engine goes on; the router picks
-/// the same stream up by offset, and the caller sees nothing of it.
+/// The connection to the engine is cut after the first token. The engine continues; the router
+/// resumes the same stream by offset, and the caller sees no interruption.
 #[compio::test]
 async fn cut_stream_is_resumed_at_the_same_engine() {
     let fleet = Fleet::start(SHAPE).await;
@@ -27,12 +27,12 @@
     let answer = call(fleet.caller(0), "POST", "/v1/chat/completions", &[], &body)
         .await
         .unwrap();
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.complete, "{answer:?}");
     assert_eq!(
         answer.text(),
         expected_answer("torque of the crank bolt?", TOKENS)
     );
-    assert_eq!(runs(&fleet).await, 1, "resumed, not run anew");
+    assert_eq!(runs(&fleet).await, 1, "a resumed stream must not run again");
 }
 
 /// The engine is killed while it streams. Another one continues from the text already delivered.
@@ -48,14 +48,14 @@
     let victim = streaming_engine(&fleet).await;
     fleet.engines[victim].child.kill().unwrap();
     let answer = answer.await.unwrap().unwrap();
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.complete, "{answer:?}");
     assert_eq!(answer.text(), expected_answer(prompt, TOKENS));
     assert_eq!(answer.data().last(), Some(&"[DONE]"));
 }
 
-/// A caller goes away midway. Its engine is told, and stops generating.
+/// A caller disconnects midway. Its engine is notified and stops generating.
 #[compio::test]
-async fn caller_that_goes_frees_its_slot() {
+async fn disconnected_caller_frees_its_slot() {
     let fleet = Fleet::start(SHAPE).await;
     let body = chat_body("c", "long", 2_000);
     let caller = fleet.caller(0);
@@ -67,7 +67,7 @@
     for engine in &fleet.engines {
         set_knobs(engine.addr, &json!({ "report_lag_ms": 0 })).await;
     }
-    wait_until("the slot to be free", || async {
+    wait_until("a free slot", || async {
         let load = get(engine, "/load").await.unwrap();
         load.contains("\"running\":0")
     })
@@ -84,7 +84,7 @@
     count
 }
 
-/// Waits until some engine has sent a few tokens; returns its place.
+/// Waits until some engine has sent a few tokens and returns its index.
 async fn streaming_engine(fleet: &Fleet) -> usize {
     for _ in 0..10_000 {
         for (i, engine) in fleet.engines.iter().enumerate() {
@@ -95,13 +95,13 @@
             }
         }
     }
-    panic!("no engine streams");
+    panic!("no engine is streaming");
 }
 
-/// The only slot is taken. A second caller waits in the home's queue, one hop away, and goes. When
-/// the slot frees, its request must not run for nobody.
+/// The only slot is taken. A second caller waits in the home's queue, one hop away, and
+/// disconnects. When the slot frees, its request must not run.
 #[compio::test]
-async fn caller_that_goes_while_queued_is_never_run() {
+async fn caller_that_disconnects_while_queued_is_never_run() {
     let fleet = Fleet::start(Shape {
         routers: 2,
         engines: 1,
@@ -122,7 +122,7 @@
     for i in 0..2 {
         queued.push(send(fleet.caller(i), "c2", "queued", 5));
     }
-    wait_until("both to be queued", || async {
+    wait_until("both requests in the queue", || async {
         let mut count = 0;
         for i in 0..2 {
             let state = fleet.operator(i).await.unwrap().fleet().await.unwrap();
@@ -132,11 +132,15 @@
     })
     .await;
     drop(queued);
-    assert!(long.await.unwrap().unwrap().whole);
+    assert!(long.await.unwrap().unwrap().complete);
     let body = chat_body("c3", "after", 5);
     let after = call(fleet.caller(0), "POST", "/v1/chat/completions", &[], &body).await;
-    assert!(after.unwrap().whole);
-    assert_eq!(runs(&fleet).await, 2, "the long one and the one after");
+    assert!(after.unwrap().complete);
+    assert_eq!(
+        runs(&fleet).await,
+        2,
+        "only the running request and the one after it may run"
+    );
 }
 
 type Answer = compio::runtime::JoinHandle<Option<support::Received>>;
@@ -149,9 +153,9 @@
 }
 
 /// An engine answers under another request's id before the first token. The answer is dropped, the
-/// request asked again, and its caller gets the right one whole.
+/// request retried, and its caller gets its own answer whole.
 #[compio::test]
-async fn crossed_answer_is_asked_again() {
+async fn crossed_answer_is_retried() {
     let fleet = Fleet::start(SHAPE).await;
     for engine in &fleet.engines {
         set_knobs(engine.addr, &json!({ "cross_answers": 1 })).await;
@@ -164,10 +168,11 @@
     assert_eq!(answer.text(), expected_answer("mine", 5));
 }
 
-/// The only engine cuts the first try before its first chunk, which has begun to run, and is gone
-/// by the next. The last try wasn't run, but the request may have been: "not run" would be a lie.
+/// The only engine cuts the first attempt before its first chunk, though the request may have run,
+/// and is gone by the next. The last attempt did not run, but "not run" would be false for the
+/// request.
 #[compio::test]
-async fn not_run_is_said_of_all_tries() {
+async fn not_run_covers_all_attempts() {
     let mut fleet = Fleet::start(Shape {
         routers: 1,
         engines: 1,
--- a/tests/routed_bad_callers.rs
+++ b/tests/routed_bad_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send what no request is.
+//! Callers that send malformed, incomplete or slow requests.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-use support::routed::{HOST, KEY, Routed, Size, fresh_id};
+use support::routed::{FleetSize, HOST, KEY, RoutedFleet, new_request_id};
 use test_case::test_case;
 
 /// `header_timeout_ms` and `idle_timeout_ms` of the configuration that the routers run with.
@@ -20,8 +20,8 @@
     )
 }
 
-/// Everything that comes back until the connection ends or is silent for a while.
-fn exchange(routed: &Routed, sent: &str) -> String {
+/// Everything received until the connection ends or is silent for a while.
+fn exchange(routed: &RoutedFleet, sent: &str) -> String {
     let mut stream = TcpStream::connect(routed.caller(0)).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_millis(700)))
@@ -38,14 +38,14 @@
     String::from_utf8_lossy(&received).into_owned()
 }
 
-/// Two lengths, and a second request in what one of them takes for the body's end. Whichever is
-/// believed, the hidden request must not run.
+/// Request smuggling: two lengths, and a second request where one of them ends the body. Whichever
+/// length the router uses, the hidden request must not run.
 #[test_case("content-length: 5\r\ntransfer-encoding: chunked\r\n"; "length first")]
 #[test_case("transfer-encoding: chunked\r\ncontent-length: 5\r\n"; "chunks first")]
 #[compio::test]
 async fn hidden_request_does_not_run(lengths: &str) {
-    let routed = Routed::start(Size::default()).await;
-    let (outer, hidden) = (fresh_id(), fresh_id());
+    let routed = RoutedFleet::start(FleetSize::default()).await;
+    let (outer, hidden) = (new_request_id(), new_request_id());
     let inner = head(&hidden, "content-length: 0\r\n\r\n");
     let sent = head(&outer, &format!("{lengths}\r\n0\r\n\r\n{inner}"));
     exchange(&routed, &sent);
@@ -58,7 +58,7 @@
 #[test_case("POST /ticket/1 HTTP/1.1\r\nhost: a.example\r\ncontent-length: -1\r\n\r\n", "400"; "negative length")]
 #[compio::test]
 async fn malformed_request_gets_one_clear_error(sent: &str, status: &str) {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let received = exchange(&routed, sent);
     assert!(
         received
@@ -74,8 +74,8 @@
 
 #[compio::test]
 async fn too_much_is_refused() {
-    let routed = Routed::start(Size::default()).await;
-    let id = fresh_id();
+    let routed = RoutedFleet::start(FleetSize::default()).await;
+    let id = new_request_id();
     let long = exchange(&routed, &head(&id, "content-length: 200000\r\n\r\n"));
     assert!(long.starts_with("HTTP/1.1 413 "), "{long}");
     let filler = "x".repeat(20_000);
@@ -93,12 +93,12 @@
     assert_eq!(routed.runs_of(&id), 0);
 }
 
-/// Two requests are sent at once on one connection: both are answered, in order, each with its own
+/// Two requests are sent at once on one connection: both are answered in order, each with its own
 /// answer.
 #[compio::test]
 async fn pipelined_requests_are_answered_in_order() {
-    let routed = Routed::start(Size::default()).await;
-    let (first, second) = (fresh_id(), fresh_id());
+    let routed = RoutedFleet::start(FleetSize::default()).await;
+    let (first, second) = (new_request_id(), new_request_id());
     let one = head(&first, "content-length: 1\r\n\r\n1");
     let two = head(&second, "content-length: 1\r\n\r\n2");
     let received = exchange(&routed, &format!("{one}{two}"));
@@ -106,11 +106,11 @@
     assert!(at(&first) < at(&second), "{received}");
 }
 
-/// A body in chunks, with extensions, comes through as it is.
+/// A chunked body with extensions is passed through unchanged.
 #[compio::test]
 async fn chunked_body_passes() {
-    let routed = Routed::start(Size::default()).await;
-    let id = fresh_id();
+    let routed = RoutedFleet::start(FleetSize::default()).await;
+    let id = new_request_id();
     let sent = head(
         &id,
         "transfer-encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
@@ -120,11 +120,11 @@
     assert_eq!(routed.runs()[&id][0].body, "abcde");
 }
 
-/// A caller breaks off in the middle of its body: nothing was asked, so nothing may run.
+/// A caller disconnects in the middle of its body: the request is incomplete and must not run.
 #[compio::test]
-async fn half_a_request_does_not_run() {
-    let routed = Routed::start(Size::default()).await;
-    let id = fresh_id();
+async fn incomplete_request_does_not_run() {
+    let routed = RoutedFleet::start(FleetSize::default()).await;
+    let id = new_request_id();
     let mut stream = TcpStream::connect(routed.caller(0)).unwrap();
     let sent = head(&id, "content-length: 100\r\n\r\nhalf");
     stream.write_all(sent.as_bytes()).unwrap();
@@ -133,12 +133,12 @@
     assert_eq!(routed.runs_of(&id), 0);
 }
 
-/// A caller sends its head a few bytes at a time, for longer than heads may take, and many such
-/// callers hold connections that others need. It is cut by the limit on heads, which is shorter
-/// than the one on idle connections.
+/// A caller sends its head a few bytes at a time, for longer than the header timeout; many such
+/// callers would exhaust the connections. It is disconnected by the header timeout, which is
+/// shorter than the idle timeout.
 #[compio::test]
 async fn slow_head_is_cut() {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let mut stream = TcpStream::connect(routed.caller(0)).unwrap();
     stream.set_nonblocking(true).unwrap();
     stream.write_all(b"POST /ticket/1 HTTP/1.1\r\n").unwrap();
@@ -146,16 +146,19 @@
     while !is_closed(&mut stream) {
         assert!(
             started.elapsed() < HEAD_LIMIT * 2,
-            "held longer than a head may take"
+            "connection open past the header timeout"
         );
         support::sleep_ms(100).await;
-        // The router may have closed it in between: the next look tells.
+        // The router may have closed it in between: the next check shows that.
         let _ = stream.write_all(b"x-more: 1\r\n");
     }
-    assert!(started.elapsed() >= HEAD_LIMIT, "cut too soon");
+    assert!(
+        started.elapsed() >= HEAD_LIMIT,
+        "closed before the header timeout"
+    );
 }
 
-/// Whether the other side has closed the connection.
+/// Whether the peer has closed the connection.
 fn is_closed(stream: &mut TcpStream) -> bool {
     match stream.read(&mut [0; 64]) {
         Ok(read) => read == 0,
@@ -163,14 +166,14 @@
     }
 }
 
-/// A connection rests between two requests for longer than a head may take: it is not slow, and the
-/// second request is served.
+/// A connection is idle between two requests for longer than the header timeout: it is not a slow
+/// head, and the second request is served.
 #[compio::test]
-async fn resting_connection_is_kept() {
-    let routed = Routed::start(Size::default()).await;
+async fn idle_connection_is_kept() {
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let mut stream = TcpStream::connect(routed.caller(0)).unwrap();
     stream.set_read_timeout(Some(IDLE_LIMIT)).unwrap();
-    let ids = [fresh_id(), fresh_id()];
+    let ids = [new_request_id(), new_request_id()];
     for id in &ids {
         let sent = head(id, "content-length: 1\r\n\r\n1");
         stream.write_all(sent.as_bytes()).unwrap();
@@ -183,29 +186,29 @@
     assert_eq!(served, ids.len(), "{received}");
 }
 
-/// Idle callers take all the connections that a router may hold for them, and more would take the files
-/// that calls to upstreams need. Those who are connected are served; one more is told at once to go
-/// elsewhere, and that nothing ran.
+/// Idle callers take all connections that the router accepts; more would use up the file
+/// descriptors that calls to upstreams need. Connected callers are served; one more is refused at
+/// once, as not run, and told to use another router.
 #[compio::test]
-async fn one_caller_too_many_is_told() {
+async fn connection_over_the_limit_is_refused() {
     const MAX_OPEN_FILES: u32 = 20;
-    const PLACES: usize = 11;
-    let size = Size {
+    const MAX_CONNECTIONS: usize = 11;
+    let size = FleetSize {
         max_open_files: MAX_OPEN_FILES,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let routed = Routed::start(size).await;
+    let routed = RoutedFleet::start(size).await;
     let connect = || TcpStream::connect(routed.caller(0)).unwrap();
-    let mut held: Vec<TcpStream> = (0..PLACES).map(|_| connect()).collect();
+    let mut connections: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| connect()).collect();
     let received = exchange(&routed, "");
     assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
     assert!(received.contains("\"run_state\":\"not_run\""), "{received}");
     let sent = head(
-        &fresh_id(),
+        &new_request_id(),
         "connection: close\r\ncontent-length: 1\r\n\r\n1",
     );
-    held[0].write_all(sent.as_bytes()).unwrap();
+    connections[0].write_all(sent.as_bytes()).unwrap();
     let mut answer = String::new();
-    held[0].read_to_string(&mut answer).unwrap();
+    connections[0].read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
 }
--- a/tests/routed_evacuation.rs
+++ b/tests/routed_evacuation.rs
@@ -3,63 +3,68 @@
 mod support;
 
 use serde_json::json;
-use support::routed::{Routed, Size};
+use support::routed::{FleetSize, RoutedFleet};
 use support::{sleep_ms, wait_until};
 
-const SIZE: Size = Size {
+const SIZE: FleetSize = FleetSize {
     routers: 3,
     upstreams: 3,
     store_relays: true,
     max_open_files: 0,
 };
 
-/// Requests that upstream 1, in data centre `dc-1`, ran of twelve, four through each router.
-async fn runs_there(routed: &Routed) -> usize {
+/// Sends twelve requests, four through each router, and returns how many of them upstream 1, in
+/// data centre `dc-1`, ran.
+async fn runs_at_upstream_1(routed: &RoutedFleet) -> usize {
     let count = || routed.runs_at(&routed.upstreams[1].name).len();
     let before = count();
     for i in 0..12 {
         let (_, received) = routed.call(i % 3, "/get/1", "1").await;
-        assert_eq!(received.expect("an answer").status, 200);
+        assert_eq!(received.expect("no answer").status, 200);
     }
     count() - before
 }
 
-/// Operators empty a data centre while the store turns one router away: that one learns it from the others. A router that
-/// is replaced meanwhile starts with it. Nobody is refused, and taken back, the data centre gets work again.
+/// Operators evacuate a data centre while the store refuses one router, which learns it from its
+/// peers. A router that is replaced meanwhile starts with the evacuation in force. No caller is
+/// refused, and after the evacuation is undone the data centre gets work again.
 #[compio::test]
 async fn evacuated_data_center_gets_nothing_new() {
-    let mut routed = Routed::start(SIZE).await;
-    wait_until("work there", || async { runs_there(&routed).await > 0 }).await;
+    let mut routed = RoutedFleet::start(SIZE).await;
+    wait_until("work in dc-1", || async {
+        runs_at_upstream_1(&routed).await > 0
+    })
+    .await;
     routed.relay_knobs(0, json!({ "refuse": true })).await;
     routed.evacuate("dc-1", true).await;
-    wait_until("all routers to know", || async {
-        runs_there(&routed).await == 0
+    wait_until("all routers to apply the evacuation", || async {
+        runs_at_upstream_1(&routed).await == 0
     })
     .await;
     routed.routers[2].kill();
     routed.spawn_router(2);
     routed.wait_ready(2).await;
     for _ in 0..3 {
-        assert_eq!(runs_there(&routed).await, 0);
+        assert_eq!(runs_at_upstream_1(&routed).await, 0);
     }
     routed.evacuate("dc-1", false).await;
-    wait_until("work there again", || async {
-        runs_there(&routed).await > 0
+    wait_until("work in dc-1 again", || async {
+        runs_at_upstream_1(&routed).await > 0
     })
     .await;
 }
 
-/// All data centres are evacuated: callers are told at once that nobody ran their requests, and when to come back.
+/// All data centres are evacuated: callers are refused at once as not run, with a retry time.
 #[compio::test]
 async fn callers_are_refused_when_all_is_evacuated() {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     for data_center in ["dc-0", "dc-1"] {
         routed.evacuate(data_center, true).await;
     }
     routed.wait_status(0, "/get/1", 503).await;
     sleep_ms(100).await;
     let (id, received) = routed.call(0, "/get/1", "1").await;
-    let received = received.expect("an answer");
+    let received = received.expect("no answer");
     assert_eq!(received.status, 503, "{}", received.body);
     assert!(received.body.contains("\"not_run\""), "{}", received.body);
     assert!(!received.header("retry-after").is_empty());
--- a/tests/routed_path.rs
+++ b/tests/routed_path.rs
@@ -1,4 +1,4 @@
-//! The way of a request on the keyed log: routes, accounts, headers and answers as they are.
+//! Requests on the keyed log: routes, accounts, and headers and answers passed unchanged.
 
 mod support;
 
@@ -6,12 +6,12 @@
 
 use serde_json::{Value, json};
 use standins::backend::id_prefix;
-use support::routed::{HOST, KEY, Routed, Size, fresh_id, routes};
+use support::routed::{FleetSize, HOST, KEY, RoutedFleet, new_request_id, routes};
 use support::{get, wait_until};
 
 #[compio::test]
 async fn request_and_answer_pass_unchanged() {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let headers = [
         ("deadline-ms", "8000"),
         ("tenant-id", "forged"),
@@ -30,30 +30,33 @@
     let run = &runs[&id][0];
     assert_eq!(run.target, "/ticket/7?x=%20y");
     assert_eq!(run.account, "workshop");
-    assert!(!run.had_key, "the caller's key went on to the upstream");
+    assert!(
+        !run.had_key,
+        "the caller's key was forwarded to the upstream"
+    );
 }
 
 #[compio::test]
-async fn stream_comes_event_by_event() {
-    let routed = Routed::start(Size::default()).await;
+async fn stream_is_passed_event_by_event() {
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let (_, received) = routed.call(0, "/once/stream", "9").await;
     let received = received.unwrap();
-    assert!(received.whole);
+    assert!(received.complete);
     let wanted: Vec<String> = (1..=9).map(|n| format!("{n} of 9")).collect();
     assert_eq!(received.data(), wanted);
 }
 
-/// What no configuration allows is refused and runs nowhere; what the newest one allows is served by
-/// every router, also by those that didn't read it themselves.
+/// What no configuration allows is refused and runs nowhere; what the newest one allows is served
+/// by every router, including those that did not read it from the store themselves.
 #[compio::test]
 async fn configuration_is_in_force_on_all_routers() {
-    let size = Size {
+    let size = FleetSize {
         routers: 5,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     for (path, key, status) in [("/nowhere/1", KEY, 404), ("/get/1", "wrong", 401)] {
-        let id = fresh_id();
+        let id = new_request_id();
         let caller = support::Caller::new(key);
         let headers = [("attempt-id", id.as_str()), ("host", HOST)];
         let received = caller
@@ -70,21 +73,21 @@
     for i in 0..5 {
         routed.wait_status(i, "/new/1", 200).await;
     }
-    // The account's key is taken away.
+    // The account's key is removed.
     routed.configure(json!({ "tenants": [] })).await;
     for i in 0..5 {
         routed.wait_status(i, "/get/1", 401).await;
     }
 }
 
-/// A configuration that can't be read must neither empty the routes nor stop the next one.
+/// A configuration that fails to parse must neither empty the routes nor block the next one.
 #[compio::test]
 async fn bad_configuration_leaves_the_old_one_in_force() {
-    let mut routed = Routed::start(Size::default()).await;
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed
         .write_config("{ \"version\": 99, \"routes\": 7 }")
         .await;
-    wait_until("the refusal", || async {
+    wait_until("the refused configuration", || async {
         routed.log(0).contains("refused")
     })
     .await;
@@ -96,34 +99,36 @@
 
 #[compio::test]
 async fn entry_answers_name_all_ready_routers() {
-    let size = Size {
+    let size = FleetSize {
         routers: 3,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     wait_until("three addresses", || async {
-        routed.entry(1).await.len() == 3
+        routed.entry_addresses(1).await.len() == 3
     })
     .await;
     routed.routers[2].kill();
     wait_until("two addresses", || async {
-        routed.entry(1).await.len() == 2
+        routed.entry_addresses(1).await.len() == 2
     })
     .await;
-    let gone = routed.caller(2).to_string();
-    wait_until("the news", || async {
-        !routed.entry(0).await.contains(&gone)
-    })
+    let removed = routed.caller(2).to_string();
+    wait_until(
+        "router 0 to drop router 2 from its entry answers",
+        || async { !routed.entry_addresses(0).await.contains(&removed) },
+    )
     .await;
 }
 
-/// An upstream says that it leaves: it gets nothing more, and its running stream ends whole.
+/// An upstream announces that it is draining: it gets no new work, and its running stream
+/// completes.
 #[compio::test]
 async fn leaving_upstream_gets_no_new_work() {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     let leaving = &routed.upstreams[0];
     support::set_knobs(leaving.addr, &json!({ "draining": true })).await;
-    wait_until("the news", || async {
+    wait_until("router 0 to log the drain", || async {
         routed.log(0).contains("draining: true")
     })
     .await;
@@ -146,10 +151,10 @@
 
 #[compio::test]
 async fn metrics_count_requests() {
-    let routed = Routed::start(Size::default()).await;
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     routed.call(0, "/get/1", "1").await;
     let wanted = "cassiagrade_requests_total{outcome=\"answered\",service=\"s1\"} 1";
-    wait_until("the count", || async {
+    wait_until("the request counter", || async {
         let page = get(routed.admin(0), "/metrics").await.unwrap_or_default();
         page.lines().any(|l| l == wanted)
     })
--- a/tests/routed_stop.rs
+++ b/tests/routed_stop.rs
@@ -6,20 +6,20 @@
 
 use futures_util::future::join;
 use serde_json::json;
-use support::routed::{Routed, Size};
+use support::routed::{FleetSize, RoutedFleet};
 use support::{get, sleep_ms, wait_until};
 
-/// A router is told to stop while a stream runs and while new requests come. None is cut, nobody is
-/// sent there any more, and the process is gone within its grace time.
+/// A router is stopped while a stream runs and new requests arrive. No answer is cut, no entry
+/// answer names the router any more, and the process exits within its grace period.
 #[compio::test]
 async fn planned_stop_cuts_nothing() {
-    let size = Size {
+    let size = FleetSize {
         routers: 2,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     wait_until("two addresses", || async {
-        routed.entry(1).await.len() == 2
+        routed.entry_addresses(1).await.len() == 2
     })
     .await;
     routed.upstream_knobs(json!({ "delay_ms": 40 })).await;
@@ -36,13 +36,13 @@
         assert_eq!(received.header("connection"), "close");
     };
     let ((_, streamed), ()) = join(stream, stop).await;
-    assert!(streamed.unwrap().whole);
+    assert!(streamed.unwrap().complete);
     let own = routed.caller(0).to_string();
-    wait_until("the news", || async {
-        !routed.entry(1).await.contains(&own)
+    wait_until("entry answers without router 0", || async {
+        !routed.entry_addresses(1).await.contains(&own)
     })
     .await;
-    wait_until("the end", || {
+    wait_until("the router's exit", || {
         let ended = routed.routers[0].exited().is_some();
         async move { ended }
     })
@@ -50,23 +50,23 @@
     assert!(started.elapsed() < Duration::from_secs(6));
 }
 
-/// A settings file is changed, with and without a signal: good changes are taken up, bad ones named
-/// and left out, and no signal ends the process.
+/// A settings file is changed, with and without a signal: valid changes are applied, invalid ones
+/// are logged and ignored, and no signal ends the process.
 #[compio::test]
-async fn changed_settings_are_taken_up_once_checked() {
-    let mut routed = Routed::start(Size::default()).await;
+async fn valid_settings_changes_are_applied() {
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     let path = routed.settings_path(0);
     let mut settings = routed.settings(0);
     settings["fleet"]["retry_share"] = json!(7);
     std::fs::write(&path, settings.to_string()).unwrap();
-    routed.routers[0].hang_up();
-    wait_until("the refusal", || async {
+    routed.routers[0].signal_reload();
+    wait_until("the refused settings", || async {
         routed.log(0).contains("fleet.retry_share")
     })
     .await;
     settings["fleet"]["retry_share"] = json!(0.1);
     std::fs::write(&path, settings.to_string()).unwrap();
-    wait_until("the change", || async {
+    wait_until("the applied settings", || async {
         routed
             .log(0)
             .contains("settings read again, by signal: false")
@@ -77,19 +77,20 @@
     assert!(routed.routers[0].exited().is_none());
 }
 
-/// What an on-call engineer has is the log: the story of one failed request can be told from its id.
+/// An on-call engineer has only the log: from its request id, the steps of one failed request can
+/// be followed.
 #[compio::test]
-async fn log_tells_the_story_of_a_failed_request() {
-    let routed = Routed::start(Size::default()).await;
+async fn log_shows_the_steps_of_a_failed_request() {
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     routed
         .upstream_knobs(json!({ "spoil": "cut", "spoilt": 1 }))
         .await;
     let (id, _) = routed.call(0, "/ticket/1", "1").await;
-    wait_until("the line", || async { routed.log(0).contains(&id) }).await;
+    wait_until("the log line", || async { routed.log(0).contains(&id) }).await;
     let work = support::WorkDir::new();
     let log = routed.log_path(0);
-    let story = work.ok(&["timeline", "--request", &id, log.to_str().unwrap()]);
-    assert!(story.contains("lost: "), "{story}");
-    assert!(story.contains("upstream_failed, unknown"), "{story}");
-    assert!(story.contains("configuration 3 read"), "{story}");
+    let steps = work.ok(&["timeline", "--request", &id, log.to_str().unwrap()]);
+    assert!(steps.contains("lost: "), "{steps}");
+    assert!(steps.contains("upstream_failed, unknown"), "{steps}");
+    assert!(steps.contains("configuration 3 read"), "{steps}");
 }
--- a/tests/routed_store.rs
+++ b/tests/routed_store.rs
@@ -1,26 +1,26 @@
-//! The platform's store away, slow, lying or turning single routers away.
+//! The platform's store is down, slow, returns wrong data or refuses single routers.
 
 mod support;
 
 use std::cell::RefCell;
 
 use serde_json::json;
-use support::routed::{Routed, Size};
+use support::routed::{FleetSize, RoutedFleet};
 use support::{sleep_ms, wait_until};
 use test_case::test_case;
 
-/// The store fails in one way for a while. Callers are served all the same, and a change that was
-/// made right after it came back is in force soon.
+/// The store fails in one way for a while. Callers are still served, and a change made right after
+/// it is back is soon in force.
 #[test_case(json!({ "fault": "busy" }); "busy")]
 #[test_case(json!({ "fault": "many" }); "too many calls")]
 #[test_case(json!({ "fault": "cut" }); "cuts connections")]
 #[test_case(json!({ "fault": "silent" }); "silent")]
 #[test_case(json!({ "delay_ms": 300 }); "slow")]
-#[test_case(json!({ "forget": true }); "forgets its history")]
+#[test_case(json!({ "forget": true }); "drops its history")]
 #[test_case(json!({ "garble_reads": 3 }); "garbled records")]
 #[compio::test]
 async fn callers_are_served_while_the_store_fails(knobs: serde_json::Value) {
-    let mut routed = Routed::start(Size::default()).await;
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed.store_knobs(knobs).await;
     for _ in 0..10 {
         let (_, received) = routed.call(0, "/get/1", "1").await;
@@ -32,22 +32,22 @@
     routed.wait_status(0, "/get/1", 404).await;
 }
 
-/// The store is away so long that all entries of upstreams lapse, and is back before they have written
-/// again. They live: nobody may be refused for that.
+/// The store is down so long that all upstream entries expire, and is back before the upstreams
+/// have written again. They are alive, so no caller may be refused.
 #[compio::test]
-async fn lapsed_entries_of_living_upstreams_refuse_nobody() {
-    let routed = Routed::start(Size::default()).await;
+async fn expired_entries_of_live_upstreams_refuse_no_caller() {
+    let routed = RoutedFleet::start(FleetSize::default()).await;
     routed
         .store_knobs(json!({ "fault": "busy", "lapse_ms": 100 }))
         .await;
-    wait_until("the loss", || async {
+    wait_until("the store outage to be detected", || async {
         routed.log(0).contains("store lost")
     })
     .await;
-    // Longer than the silence after which lapsed entries are doubted.
+    // Longer than the silence after which expired entries are suspected.
     sleep_ms(3_500).await;
     routed.store_knobs(json!({})).await;
-    wait_until("the return", || async {
+    wait_until("the upstreams to be listed again", || async {
         routed.log(0).contains("store back")
     })
     .await;
@@ -57,37 +57,37 @@
     }
 }
 
-/// An upstream dies while the store is away; its entry doesn't come back. It must be taken for gone
-/// soon after the store's return.
+/// An upstream dies while the store is down, so its entry is not renewed. It must be considered
+/// dead soon after the store is back.
 #[compio::test]
-async fn entry_that_does_not_come_back_is_gone() {
-    let mut routed = Routed::start(Size::default()).await;
+async fn unrenewed_entry_is_removed() {
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed
         .store_knobs(json!({ "fault": "busy", "lapse_ms": 900 }))
         .await;
     routed.upstreams[0].kill();
     sleep_ms(3_500).await;
     routed.store_knobs(json!({ "lapse_ms": 900 })).await;
-    wait_until("the removal", || async {
+    wait_until("the upstream to be removed", || async {
         routed.log(0).contains("is gone")
     })
     .await;
 }
 
-/// The store forgets its history while a router can't read it. The router must start anew from the
-/// newest records; asking for what is gone again and again would cost the store thousands of calls,
-/// and upstreams that left meanwhile would get work for ever.
+/// The store drops its history while a router can't read it. The router must start again from the
+/// newest records: repeated requests for the dropped ones would cost the store thousands of calls,
+/// and upstreams that left meanwhile would keep getting work.
 #[compio::test]
-async fn forgotten_history_is_read_anew_once() {
-    let size = Size {
+async fn dropped_history_restarts_the_read_once() {
+    let size = FleetSize {
         store_relays: true,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     routed
         .relay_knobs(0, json!({ "refuse": true, "cut": true }))
         .await;
-    wait_until("the loss", || async {
+    wait_until("the store outage to be detected", || async {
         routed.log(0).contains("store lost")
     })
     .await;
@@ -98,7 +98,7 @@
     routed.store_knobs(json!({ "forget": true })).await;
     routed.relay_knobs(0, json!({})).await;
     let wanted = format!("cassiagrade_upstreams_known {}", before + 2);
-    wait_until("the upstreams", || async {
+    wait_until("all upstreams to be known", || async {
         let page = support::get(routed.admin(0), "/metrics")
             .await
             .unwrap_or_default();
@@ -111,62 +111,63 @@
     };
     let first = calls().await;
     sleep_ms(1_000).await;
-    let made = calls().await - first;
+    let count = calls().await - first;
     // Four upstreams write three times a second each, and the router reads about twice.
-    assert!(made < 40, "{made} calls in a second");
+    assert!(count < 40, "{count} store calls in one second");
 }
 
-/// The store turns one router away and serves the others. It learns from them what changes, within
-/// seconds, and its callers see no old configuration.
+/// The store refuses one router and serves the others. That router learns changes from its peers
+/// within seconds, and its callers see no old configuration.
 #[compio::test]
-async fn router_that_is_turned_away_learns_from_the_others() {
-    let size = Size {
+async fn refused_router_learns_from_its_peers() {
+    let size = FleetSize {
         routers: 4,
         store_relays: true,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     for i in 0..4 {
         routed.wait_ready(i).await;
     }
-    for away in 0..4 {
-        routed.relay_knobs(away, json!({ "stall": true })).await;
-        let routes = if away % 2 == 0 {
+    for router in 0..4 {
+        routed.relay_knobs(router, json!({ "stall": true })).await;
+        let routes = if router % 2 == 0 {
             json!([])
         } else {
             json!(support::routed::routes())
         };
-        let status = if away % 2 == 0 { 404 } else { 200 };
+        let status = if router % 2 == 0 { 404 } else { 200 };
         routed.configure(json!({ "routes": routes })).await;
-        routed.wait_status(away, "/get/1", status).await;
-        routed.relay_knobs(away, json!({})).await;
+        routed.wait_status(router, "/get/1", status).await;
+        routed.relay_knobs(router, json!({})).await;
     }
 }
 
-/// A router is replaced while the store is away: it knows nothing of its own. Its peers tell it, and
-/// it serves.
+/// A router is replaced while the store is down, with no state of its own. It gets the state from
+/// its peers and serves.
 #[compio::test]
 async fn replaced_router_starts_from_its_peers() {
-    let size = Size {
+    let size = FleetSize {
         routers: 3,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     routed.store_knobs(json!({ "fault": "silent" })).await;
     routed.routers[2].kill();
     routed.spawn_router(2);
     routed.wait_status(2, "/get/1", 200).await;
 }
 
-/// Hundreds of routers start at once, and the store takes a second for all that they ask. Those that know nothing yet
-/// must not ask their peers for everything beside it: over the peers' slow links that held up the whole fleet.
+/// Hundreds of routers start at once, and the store takes a second for each request. Routers
+/// without state must not also request the whole state from their peers: over the peers' slow links
+/// that stalled the whole fleet.
 #[compio::test]
-async fn slow_store_sends_nobody_to_its_peers() {
-    let size = Size {
+async fn slow_store_causes_no_full_state_requests_to_peers() {
+    let size = FleetSize {
         routers: 2,
-        ..Size::default()
+        ..FleetSize::default()
     };
-    let mut routed = Routed::start(size).await;
+    let mut routed = RoutedFleet::start(size).await;
     routed.store_knobs(json!({ "delay_ms": 1_000 })).await;
     routed.routers[1].kill();
     routed.spawn_router(1);
@@ -177,50 +178,52 @@
     assert!(!log.contains("in force, from 127."), "{log}");
 }
 
-/// A router that is still loading refuses its callers: all of them come back late, and some have no retry left.
+/// If a router that is still loading refused its callers, all of them would be delayed, and some
+/// have no retry left.
 #[test_case(&[("deadline-ms", "8000")]; "with time left")]
 #[test_case(&[]; "without a deadline")]
 #[compio::test]
 async fn requests_wait_for_the_first_load(headers: &[(&str, &str)]) {
-    let mut routed = Routed::start(Size::default()).await;
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed.store_knobs(json!({ "delay_ms": 500 })).await;
     routed.routers[0].kill();
     routed.spawn_router(0);
-    let answered = RefCell::new(None);
+    let response = RefCell::new(None);
     wait_until("an answer", || async {
         let (_, received) = routed.call_with(0, "/get/1", "1", headers).await;
-        answered.replace(received);
-        answered.borrow().is_some()
+        response.replace(received);
+        response.borrow().is_some()
     })
     .await;
-    assert_eq!(answered.take().map(|r| r.status), Some(200));
+    assert_eq!(response.take().map(|r| r.status), Some(200));
 }
 
-/// A caller has less time than the first load takes. It must not be held until its time is up.
+/// A caller's deadline is shorter than the first load. It must not be kept waiting until its
+/// deadline.
 #[compio::test]
 async fn short_deadlines_do_not_wait_for_a_long_load() {
-    let mut routed = Routed::start(Size::default()).await;
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed.store_knobs(json!({ "delay_ms": 1_500 })).await;
     routed.routers[0].kill();
     routed.spawn_router(0);
-    let answered = RefCell::new(None);
+    let response = RefCell::new(None);
     wait_until("an answer", || async {
         let headers = [("deadline-ms", "400")];
         let (_, received) = routed.call_with(0, "/get/1", "1", &headers).await;
-        answered.replace(received);
-        answered.borrow().is_some()
+        response.replace(received);
+        response.borrow().is_some()
     })
     .await;
-    let received = answered.take().unwrap();
+    let received = response.take().unwrap();
     assert_eq!(received.status, 503);
     assert!(received.not_run());
 }
 
-/// A router starts while the store is away and knows no peer either: it must not call requests
-/// unknown that it merely hasn't heard of.
+/// A router starts while the store is down and no peer is known: it must not refuse requests as
+/// unknown when it has merely not loaded the routes.
 #[compio::test]
-async fn router_without_a_configuration_denies_nothing() {
-    let mut routed = Routed::start(Size::default()).await;
+async fn router_without_a_configuration_refuses_no_request_as_unknown() {
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed.store_knobs(json!({ "fault": "silent" })).await;
     routed.routers[0].kill();
     routed.spawn_router(0);
@@ -237,11 +240,11 @@
     assert!(support::get(routed.ready(0), "/readyz").await.is_none());
 }
 
-/// An old version reaches a router after a newer one: taken, requests would be handled again as an
-/// operator no longer allows.
+/// An old version reaches a router after a newer one. If the router applied it, requests would be
+/// handled by rules that the operator has replaced.
 #[compio::test]
-async fn older_version_never_comes_back() {
-    let mut routed = Routed::start(Size::default()).await;
+async fn older_version_is_not_applied() {
+    let mut routed = RoutedFleet::start(FleetSize::default()).await;
     routed.configure(json!({ "routes": [] })).await;
     routed.wait_status(0, "/get/1", 404).await;
     routed.configure(json!({ "version": 1 })).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,11 +1,11 @@
-//! The fault soak, short, with fixed seeds, and every seed that ever failed.
+//! The fault soak in a short form, with fixed seeds, including every seed that ever failed.
 
 use std::path::Path;
 use std::process::Command;
 
 use test_case::test_case;
 
-/// Faults drawn from the seed meet mixed load; the soak itself holds what callers were told against
+/// Faults drawn from the seed meet mixed load; the soak itself compares what callers received with
 /// the upstreams' records.
 #[test_case(1, 8)]
 #[test_case(2, 8)]
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! Strangers at the ports of peers and operators: no wrong key is believed.
+//! Unauthorised connections at the peer and operator ports: no wrong key is accepted.
 
 mod support;
 
@@ -19,13 +19,13 @@
     plains: 1,
 };
 
-/// Paths that routers ask one another.
+/// Paths of requests between routers.
 const PATHS: [&str; 3] = ["/forward", "/config", "/no-such"];
 
 #[derive(Clone, Copy)]
-struct Local;
+struct LocalExecutor;
 
-impl<F: Future + 'static> Executor<F> for Local {
+impl<F: Future + 'static> Executor<F> for LocalExecutor {
     fn execute(&self, fut: F) {
         compio::runtime::spawn(async {
             fut.await;
@@ -35,9 +35,9 @@
 }
 
 /// The status of one HTTP/2 request with this key, or with none.
-async fn ask(addr: SocketAddr, path: &str, key: Option<&str>) -> (StatusCode, Bytes) {
+async fn request(addr: SocketAddr, path: &str, key: Option<&str>) -> (StatusCode, Bytes) {
     let stream = TcpStream::connect(addr).await.unwrap();
-    let (mut send, conn) = hyper::client::conn::http2::Builder::new(Local)
+    let (mut send, conn) = hyper::client::conn::http2::Builder::new(LocalExecutor)
         .timer(CompioTimer)
         .handshake(HyperStream::new_plain(stream))
         .await
@@ -57,13 +57,14 @@
     (status, body)
 }
 
-/// A stranger who can reach a peer port would otherwise run requests in any account's name.
+/// Without the fleet key, any client that can reach a peer port could run requests in any account's
+/// name.
 #[compio::test]
 async fn peers_need_the_fleet_key() {
     let fleet = Fleet::start(SHAPE).await;
     let addr = fleet.peer(0);
     // None, too short, one byte off, too long, and the key of operators.
-    let wrong = [
+    let wrong_keys = [
         None,
         Some("fleet-key"),
         Some("fleet-key-0123456780"),
@@ -71,30 +72,34 @@
         Some(support::OPERATOR_KEY),
     ];
     for path in PATHS {
-        for key in wrong {
-            let (status, body) = ask(addr, path, key).await;
+        for key in wrong_keys {
+            let (status, body) = request(addr, path, key).await;
             assert_eq!(status, StatusCode::UNAUTHORIZED, "{path} {key:?}");
             assert!(body.is_empty());
         }
     }
-    let (status, _) = ask(addr, "/no-such", Some("fleet-key-0123456789")).await;
-    assert_ne!(status, StatusCode::UNAUTHORIZED, "the right key is let in");
+    let (status, _) = request(addr, "/no-such", Some("fleet-key-0123456789")).await;
+    assert_ne!(
+        status,
+        StatusCode::UNAUTHORIZED,
+        "the right key must be accepted"
+    );
 }
 
-/// Strangers hold many connections to the pages and the operators' port: callers are served all the
-/// same, and when the strangers go the operators are too.
+/// Unauthorised clients keep many connections open to the admin pages and the operator port:
+/// callers are still served, and operators too once these clients disconnect.
 #[compio::test]
-async fn idle_strangers_keep_nobody_out() {
+async fn idle_unauthorised_connections_block_no_caller() {
     let fleet = Fleet::start(SHAPE).await;
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..200 {
         for addr in [fleet.admin(0), fleet.operator_addr(0)] {
-            held.push(std::net::TcpStream::connect(addr).unwrap());
+            connections.push(std::net::TcpStream::connect(addr).unwrap());
         }
     }
     let answer = support::call(fleet.caller(0), "GET", "/v1/entry", &[], "").await;
     assert_eq!(answer.unwrap().status, 200);
-    drop(held);
+    drop(connections);
     support::wait_until("operators", || async {
         match fleet.operator(0).await {
             Ok(mut operator) => operator.config().await.is_ok(),
--- a/tests/support/caller.rs
+++ b/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of the fleet, and what they are told.
+//! Callers of the fleet and the outcomes of their requests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,26 +8,26 @@
 
 use super::ACCOUNT_KEY;
 
-/// Only ends a test that hangs.
+/// Upper limit that ends a hanging test.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition; the limit only ends a test that hangs.
-pub(crate) async fn wait_until<F, Fut>(what: &str, holds: F)
+/// Polls a condition until it is true; panics after [`WAIT_LIMIT`].
+pub(crate) async fn wait_until<F, Fut>(what: &str, condition: F)
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
-    assert!(comes_true(holds).await, "waited too long for {what}");
+    assert!(poll_until(condition).await, "timed out waiting for {what}");
 }
 
-/// Waits for a condition; `false` if it didn't come about in time.
-pub(crate) async fn comes_true<F, Fut>(mut holds: F) -> bool
+/// Polls a condition until it is true; returns `false` after [`WAIT_LIMIT`].
+pub(crate) async fn poll_until<F, Fut>(mut condition: F) -> bool
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
     let start = Instant::now();
-    while !holds().await {
+    while !condition().await {
         if start.elapsed() >= WAIT_LIMIT {
             return false;
         }
@@ -54,7 +54,7 @@
     assert!(request.send().await.unwrap().status().is_success());
 }
 
-/// Whether a POST was answered with success.
+/// Sends a POST and returns whether it succeeded.
 pub(crate) async fn post(addr: SocketAddr, path: &str, body: &str) -> bool {
     let client = cyper::Client::new().unwrap();
     let url = format!("http://{addr}{path}");
@@ -73,22 +73,22 @@
     pub(crate) status: u16,
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: String,
-    /// The connection ended as the protocol wants it.
-    pub(crate) whole: bool,
+    /// Whether the response ended as the protocol requires.
+    pub(crate) complete: bool,
 }
 
-/// What a caller may conclude from what it received.
+/// The outcome that a caller can conclude from a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Told {
-    /// A whole answer.
+pub(crate) enum CallOutcome {
+    /// A complete answer.
     Served,
-    /// A refusal: its cause, what it says of the run, and when to come back.
+    /// A refusal with its cause, run state and retry time.
     Refused {
         cause: String,
         run_state: String,
         retry_after_ms: u64,
     },
-    /// The connection broke: nothing is known.
+    /// The connection broke: whether the request ran is unknown.
     Cut,
 }
 
@@ -117,30 +117,30 @@
         pieces.collect()
     }
 
-    pub(crate) fn told(&self) -> Told {
+    pub(crate) fn outcome(&self) -> CallOutcome {
         let last = self.data().last().copied().unwrap_or(&self.body);
         let error = serde_json::from_str::<Value>(last).unwrap_or_default();
         if let Some(error) = error.get("error") {
             let text = |name: &str| error[name].as_str().unwrap_or_default().to_owned();
-            return Told::Refused {
+            return CallOutcome::Refused {
                 cause: text("cause"),
                 run_state: text("run_state"),
                 retry_after_ms: error["retry_after_ms"].as_u64().unwrap_or(0),
             };
         }
         let streamed = self.header("content-type") == "text/event-stream";
-        if self.status == 200 && self.whole && (!streamed || last == "[DONE]") {
-            return Told::Served;
+        if self.status == 200 && self.complete && (!streamed || last == "[DONE]") {
+            return CallOutcome::Served;
         }
-        Told::Cut
+        CallOutcome::Cut
     }
 
     pub(crate) fn not_run(&self) -> bool {
-        matches!(self.told(), Told::Refused { run_state, .. } if run_state == "not_run")
+        matches!(self.outcome(), CallOutcome::Refused { run_state, .. } if run_state == "not_run")
     }
 }
 
-/// One caller with the key of an account.
+/// A client that uses the key of one account.
 #[derive(Clone)]
 pub(crate) struct Caller {
     client: cyper::Client,
@@ -178,13 +178,13 @@
         Some(receive(response).await)
     }
 
-    /// Asks for a streamed chat answer.
+    /// Requests a streamed chat answer.
     pub(crate) async fn chat(&self, addr: SocketAddr, body: &str) -> Option<Received> {
         self.call(addr, "POST", "/v1/chat/completions", &[], body)
             .await
     }
 
-    /// Asks for an entry that may run at most once.
+    /// Sends a non-idempotent entry with its idempotency key.
     pub(crate) async fn entry(&self, addr: SocketAddr, key: &str, body: &str) -> Option<Received> {
         let headers = [("idempotency-key", key)];
         self.call(addr, "POST", "/records/entries", &headers, body)
@@ -200,7 +200,7 @@
             .iter()
             .map(|(k, v)| (k.to_string(), v.to_str().unwrap_or_default().to_owned()))
             .collect(),
-        whole: true,
+        complete: true,
         ..Received::default()
     };
     let mut bytes = Vec::new();
@@ -209,7 +209,7 @@
         match piece {
             Ok(piece) => bytes.extend_from_slice(&piece),
             Err(_) => {
-                received.whole = false;
+                received.complete = false;
                 break;
             }
         }
--- a/tests/support/cli.rs
+++ b/tests/support/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, run in a work directory of its own.
+//! Runs the command line in its own work directory.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,9 +16,9 @@
     env: Vec<(&'static str, String)>,
 }
 
-/// What a command left behind.
+/// The exit code and the outputs of a command.
 #[derive(Debug)]
-pub(crate) struct Ran {
+pub(crate) struct CommandOutput {
     pub(crate) code: i32,
     pub(crate) out: String,
     pub(crate) err: String,
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(crate) fn at(fleet: &Fleet) -> Self {
+    pub(crate) fn for_fleet(fleet: &Fleet) -> Self {
         let mut work = Self::new();
         work.env = vec![
             ("CASSIAGRADE_ROUTER", fleet.operator_addr(0).to_string()),
@@ -52,14 +52,14 @@
         self.dir.path().join(name)
     }
 
-    /// Starts a command that goes on; its outputs are the files `cassiagrade.out` and `.err`.
+    /// Starts a long-running command; its outputs are the files `cassiagrade.out` and `.err`.
     pub(crate) fn spawn(&self, args: &[&str], addr: SocketAddr) -> Process {
         let mut command = Command::new(router_program());
         command.args(args).current_dir(self.dir.path());
         spawn(self.dir.path(), "cassiagrade", command, addr)
     }
 
-    pub(crate) fn run(&self, args: &[&str]) -> Ran {
+    pub(crate) fn run(&self, args: &[&str]) -> CommandOutput {
         let output = Command::new(router_program())
             .args(args)
             .current_dir(self.dir.path())
@@ -68,7 +68,7 @@
             .envs(self.env.clone())
             .output()
             .unwrap();
-        Ran {
+        CommandOutput {
             code: output.status.code().unwrap(),
             out: String::from_utf8(output.stdout).unwrap(),
             err: String::from_utf8(output.stderr).unwrap(),
@@ -88,7 +88,7 @@
         serde_json::from_str(&out).unwrap()
     }
 
-    /// What a command that must end with `code` says on standard error.
+    /// Runs a command that must exit with `code` and returns its standard error.
     pub(crate) fn fails(&self, code: i32, args: &[&str]) -> String {
         let ran = self.run(args);
         assert_eq!(ran.code, code, "{args:?}: {ran:?}");
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes with a network prefix of its own.
+//! A fleet of processes with its own network prefix.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     account, apply_at, data_center, engine_service, plain_service, upstream, upstream_at,
 };
 use super::options::{Options, Relay, Shape};
-use super::process::{Process, router_program, spawn, standin};
+use super::process::{Process, router_program, spawn, spawn_standin};
 use super::records::Runs;
 use super::{ACCOUNT_KEY, LARGEST_KEY, OPERATOR_KEY};
 
@@ -37,33 +37,33 @@
     pub(crate) routers: Vec<Process>,
     pub(crate) engines: Vec<Process>,
     pub(crate) plains: Vec<Process>,
-    /// Between router `i` and the platform, if asked for.
+    /// The relay between router `i` and the platform, if enabled.
     pub(crate) platform_relays: Vec<Relay>,
-    /// Between the routers and engine `i`, if asked for.
+    /// The relay between the routers and engine `i`, if enabled.
     pub(crate) engine_relays: Vec<Relay>,
     options: Options,
 }
 
 impl Fleet {
-    /// Starts the processes, lists the routers at the platform and creates two accounts, an engine
-    /// service "draft" with model "small", and a plain service "records" at /records.
+    /// Starts the processes, adds the routers to the platform's host list and creates two accounts,
+    /// an engine service "draft" with model "small", and a plain service "records" at /records.
     pub(crate) async fn start(shape: Shape) -> Self {
         Self::start_with(Options::new(shape.routers, shape.engines, shape.plains)).await
     }
 
-    /// The same with the `limits` of the routers' settings.
+    /// Like [`Self::start`], with the `limits` of the routers' settings.
     pub(crate) async fn start_with_limits(shape: Shape, limits: Value) -> Self {
         let options = Options::new(shape.routers, shape.engines, shape.plains);
         Self::start_with(Options { limits, ..options }).await
     }
 
-    /// The same with more to choose.
+    /// Like [`Self::start`], with all options.
     pub(crate) async fn start_with(options: Options) -> Self {
         let shape = options.shape;
         let dir = tempfile::tempdir().unwrap();
         let prefix = free_prefix();
         let platform_addr = addr(prefix, 250, STANDIN_PORT);
-        let platform = standin(dir.path(), "platform", &["platform"], platform_addr);
+        let platform = spawn_standin(dir.path(), "platform", &["platform"], platform_addr);
         wait_until("the platform", || async {
             get(platform_addr, "/hosts").await.is_some()
         })
@@ -123,7 +123,7 @@
     fn spawn_engine(&self, i: u8, knobs: &str) -> Process {
         let at = addr(self.prefix, 100 + i, STANDIN_PORT);
         let name = format!("engine-{i}");
-        standin(self.dir.path(), &name, &["engine", "--knobs", knobs], at)
+        spawn_standin(self.dir.path(), &name, &["engine", "--knobs", knobs], at)
     }
 
     fn spawn_relay(&self, name: &str, host: u8, target: SocketAddr) -> Relay {
@@ -131,11 +131,11 @@
         let (target, control_arg) = (target.to_string(), control.to_string());
         let args = ["relay", "--target", &target, "--control", &control_arg];
         let at = addr(self.prefix, host, STANDIN_PORT);
-        let process = standin(self.dir.path(), name, &args, at);
+        let process = spawn_standin(self.dir.path(), name, &args, at);
         Relay { process, control }
     }
 
-    /// Where the routers are told that engine `i` is.
+    /// The address of engine `i` in the configuration: its relay's, if there is one.
     pub(crate) fn engine_addr(&self, i: usize) -> SocketAddr {
         let relay = self.engine_relays.get(i);
         relay.map_or(self.engines[i].addr, |r| r.process.addr)
@@ -144,10 +144,10 @@
     fn spawn_plain(&self, i: u8, knobs: &str) -> Process {
         let at = addr(self.prefix, 200 + i, STANDIN_PORT);
         let name = format!("plain-{i}");
-        standin(self.dir.path(), &name, &["plain", "--knobs", knobs], at)
+        spawn_standin(self.dir.path(), &name, &["plain", "--knobs", knobs], at)
     }
 
-    /// Ends engine `i`, if it still runs, and starts it anew.
+    /// Kills engine `i`, if it still runs, and restarts it.
     pub(crate) fn restart_engine(&mut self, i: u8, knobs: &str) {
         self.engines[usize::from(i)].kill();
         self.engines[usize::from(i)] = self.spawn_engine(i, knobs);
@@ -158,13 +158,13 @@
         self.plains[usize::from(i)] = self.spawn_plain(i, knobs);
     }
 
-    /// Replaces router `i` by a new host of the same name that knows nothing.
+    /// Replaces router `i` by a new process of the same name without state.
     pub(crate) fn restart_router(&mut self, i: u8) {
         self.routers[usize::from(i)].kill();
         self.routers[usize::from(i)] = self.spawn_router(i);
     }
 
-    /// Adds one more router to the running fleet.
+    /// Adds a router to the running fleet.
     pub(crate) async fn add_router(&mut self) -> u8 {
         let i = u8::try_from(self.routers.len()).unwrap();
         let process = self.spawn_router(i);
@@ -174,7 +174,7 @@
         i
     }
 
-    /// Tells the platform's list of router `i`.
+    /// Puts router `i` in the platform's host list.
     pub(crate) async fn list_router(&self, i: u8, leaving: bool) {
         let listed = json!({
             "name": format!("router-{i}"),
@@ -303,8 +303,8 @@
         .await;
     }
 
-    /// Every time line event up to now of routers that all run, in no order. Lines leave a router in order but some time
-    /// later: a request that is refused marks the place.
+    /// Returns every time line event up to now, unordered. All routers must be running. A router
+    /// writes its lines in order but with a delay, so a refused request serves as the end marker.
     pub(crate) async fn events_until_now(&self) -> Vec<Value> {
         for i in 0..self.routers.len() {
             let addr = self.caller(u8::try_from(i).unwrap());
@@ -312,7 +312,7 @@
             let refused: Value = serde_json::from_str(&refused.body).unwrap();
             let id = &refused["error"]["request_id"];
             assert!(id.is_string(), "{refused}");
-            wait_until("the events to hold all until now", || async {
+            wait_until("the end marker among the events", || async {
                 self.events().iter().any(|e| e["request_id"] == *id)
             })
             .await;
@@ -320,17 +320,17 @@
         self.events()
     }
 
-    /// Every time line event that the routers wrote out so far, in no order.
+    /// Returns the time line events that the routers have written so far, unordered.
     pub(crate) fn events(&self) -> Vec<Value> {
         let read = |p: &Process| std::fs::read_to_string(self.out_path(&p.name)).unwrap();
         let texts: Vec<String> = self.routers.iter().map(read).collect();
         let lines = texts.iter().flat_map(|t| t.lines());
         let objects = lines.filter_map(|l| serde_json::from_str(l).ok());
-        // Log lines stand on the same output.
+        // Log lines go to the same output.
         objects.filter(|o: &Value| o["kind"].is_string()).collect()
     }
 
-    /// What all upstreams recorded so far, killed ones included.
+    /// The runs that all upstreams recorded so far, including killed ones.
     pub(crate) fn runs(&self) -> Runs {
         let upstreams = self.engines.iter().chain(&self.plains);
         let names: Vec<String> = upstreams.map(|p| p.name.clone()).collect();
@@ -342,8 +342,8 @@
     }
 }
 
-/// A /16 of loopback that no other test of this machine uses now: port 7009 of its last address
-/// stays bound as long as the process lives.
+/// Reserves a /16 of loopback that no other test on this machine uses: port 7009 of its last
+/// address stays bound until the process exits.
 pub(crate) fn free_prefix() -> [u8; 2] {
     let pid = std::process::id();
     for _ in 0..200 {
@@ -352,8 +352,8 @@
             u8::try_from(2 + pid % 250).unwrap(),
             u8::try_from((pid / 250 + u32::from(n) * 7) % 250).unwrap(),
         ];
-        if let Ok(mark) = std::net::TcpListener::bind(addr(prefix, 254, 7009)) {
-            std::mem::forget(mark);
+        if let Ok(guard) = std::net::TcpListener::bind(addr(prefix, 254, 7009)) {
+            std::mem::forget(guard);
             return prefix;
         }
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts routers and stand-ins as separate processes on loopback, and ends just those.
+//! Starts routers and stand-ins as separate processes on loopback and stops only those.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(unused_imports, reason = "each test file uses a part of it")]
 
@@ -13,7 +13,8 @@
 pub(crate) mod routed;
 
 pub(crate) use caller::{
-    Caller, Received, Told, call, chat_body, expected_answer, get, post, put, set_knobs, wait_until,
+    CallOutcome, Caller, Received, call, chat_body, expected_answer, get, post, put, set_knobs,
+    wait_until,
 };
 pub(crate) use cli::WorkDir;
 pub(crate) use fleet::Fleet;
@@ -25,5 +26,5 @@
 pub(crate) const OPERATOR_KEY: &str = "operator-key-0123456789";
 /// The key of account "acme".
 pub(crate) const ACCOUNT_KEY: &str = "account-key-0123456789";
-/// The key of account "largest", which outweighs all others together.
+/// The key of account "largest", whose weight exceeds that of all others together.
 pub(crate) const LARGEST_KEY: &str = "largest-key-0123456789";
--- a/tests/support/net.rs
+++ b/tests/support/net.rs
@@ -1,5 +1,5 @@
-//! A small fake network under the membership: every datagram is delivered after a delay, lost, or
-//! held back while its receiver is frozen. Time and chance are the test's own.
+//! A simulated network for the membership tests: each datagram is delivered after a delay, lost, or
+//! held back while its receiver is frozen. The clock and the random numbers belong to the test.
 #![allow(dead_code, reason = "each user needs a part of it")]
 
 use std::collections::BTreeMap;
@@ -15,11 +15,11 @@
 const TICK_MS: u64 = 50;
 const MAX_MEMBERS: usize = 2;
 
-pub(crate) struct Flying {
+pub(crate) struct InFlight {
     from: usize,
     to: SocketAddr,
     incarnation: u64,
-    rumours: Vec<Member>,
+    updates: Vec<Member>,
     message: Message,
 }
 
@@ -27,13 +27,13 @@
     pub(crate) swim: Swim,
     pub(crate) up: bool,
     pub(crate) frozen_until_ms: u64,
-    pub(crate) side: u8,
+    pub(crate) partition: u8,
 }
 
 /// A fleet in which node `i` listens at port `1000 + i`.
 pub(crate) struct Net {
     pub(crate) nodes: Vec<Node>,
-    flying: BTreeMap<(u64, u64), Flying>,
+    in_flight: BTreeMap<(u64, u64), InFlight>,
     pub(crate) sent: u64,
     pub(crate) now_ms: u64,
     pub(crate) loss: f64,
@@ -56,11 +56,11 @@
 }
 
 impl Net {
-    /// `n` routers that have read the platform's list and run for `settle_ms`.
+    /// Starts `n` routers that have read the platform's host list, and runs them for `settle_ms`.
     pub(crate) fn start(n: usize, settle_ms: u64) -> Self {
         let mut net = Self {
             nodes: Vec::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             now_ms: 1,
             loss: 0.0,
@@ -70,7 +70,7 @@
             net.nodes.push(net.node(i, 1_000));
         }
         for i in 0..n {
-            net.list(i);
+            net.merge_host_list(i);
         }
         net.run(settle_ms);
         net
@@ -82,12 +82,12 @@
             swim: Swim::new(me, SwimPolicy::default(), self.now_ms),
             up: true,
             frozen_until_ms: 0,
-            side: 0,
+            partition: 0,
         }
     }
 
-    /// Node `i` reads the list, which names every host.
-    pub(crate) fn list(&mut self, i: usize) {
+    /// Node `i` reads the host list, which names every host.
+    pub(crate) fn merge_host_list(&mut self, i: usize) {
         let hosts = (0..self.nodes.len()).map(|k| Listed {
             member: member(k, 0),
             leaving: false,
@@ -96,10 +96,10 @@
         self.nodes[i].swim.merge_listed(hosts.collect(), now_ms);
     }
 
-    /// The host of node `i` is replaced by another process under the same name and address.
+    /// Replaces the host of node `i` by another process with the same name and address.
     pub(crate) fn replace(&mut self, i: usize, incarnation: u64) {
         self.nodes[i] = self.node(i, incarnation);
-        self.list(i);
+        self.merge_host_list(i);
     }
 
     pub(crate) fn run(&mut self, ms: u64) {
@@ -113,23 +113,23 @@
         }
     }
 
-    /// Runs until `holds` or `limit_ms` passed; tells how long it took.
-    pub(crate) fn until(&mut self, limit_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
+    /// Runs until `condition` is true and returns the time it took; panics after `limit_ms`.
+    pub(crate) fn run_until(&mut self, limit_ms: u64, condition: impl Fn(&Self) -> bool) -> u64 {
         let start_ms = self.now_ms;
-        while !holds(self) && self.now_ms - start_ms < limit_ms {
+        while !condition(self) && self.now_ms - start_ms < limit_ms {
             self.run(10);
         }
-        assert!(holds(self), "not within {limit_ms} ms");
+        assert!(condition(self), "condition not met within {limit_ms} ms");
         self.now_ms - start_ms
     }
 
-    pub(crate) fn runs(&self, i: usize) -> bool {
+    pub(crate) fn is_running(&self, i: usize) -> bool {
         self.nodes[i].up && self.nodes[i].frozen_until_ms <= self.now_ms
     }
 
     pub(crate) fn tick(&mut self) {
         for i in 0..self.nodes.len() {
-            if self.runs(i) {
+            if self.is_running(i) {
                 let out = self.nodes[i].swim.tick(self.now_ms, &mut self.rng);
                 self.send(i, out);
             }
@@ -139,48 +139,51 @@
     pub(crate) fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for Outgoing { to, host, message } in out {
             let swim = &mut self.nodes[from].swim;
-            let rumours = swim.updates_for(host.as_ref(), MAX_MEMBERS, &mut self.rng);
+            let updates = swim.updates_for(host.as_ref(), MAX_MEMBERS, &mut self.rng);
             let incarnation = swim.me().incarnation;
             self.sent += 1;
             if self.rng.random_bool(self.loss) {
                 continue;
             }
             let at_ms = self.now_ms + self.rng.random_range(1..4);
-            let flying = Flying {
+            let in_flight = InFlight {
                 from,
                 to,
                 incarnation,
-                rumours,
+                updates,
                 message,
             };
-            self.flying.insert((at_ms, self.sent), flying);
+            self.in_flight.insert((at_ms, self.sent), in_flight);
         }
     }
 
     pub(crate) fn deliver(&mut self) {
-        let due = self.flying.split_off(&(self.now_ms + 1, 0));
-        let due = std::mem::replace(&mut self.flying, due);
-        for ((at_ms, n), flying) in due {
-            let to = usize::from(flying.to.port()) - 1000;
-            let cut = self.nodes[to].side != self.nodes[flying.from].side;
-            if !self.nodes[to].up || cut {
+        let due = self.in_flight.split_off(&(self.now_ms + 1, 0));
+        let due = std::mem::replace(&mut self.in_flight, due);
+        for ((at_ms, n), in_flight) in due {
+            let to = usize::from(in_flight.to.port()) - 1000;
+            let partitioned = self.nodes[to].partition != self.nodes[in_flight.from].partition;
+            if !self.nodes[to].up || partitioned {
                 continue;
             }
-            if !self.runs(to) {
-                self.flying.insert((at_ms + 1, n), flying);
+            if !self.is_running(to) {
+                self.in_flight.insert((at_ms + 1, n), in_flight);
                 continue;
             }
-            self.receive(to, flying);
+            self.receive(to, in_flight);
         }
     }
 
-    pub(crate) fn receive(&mut self, to: usize, flying: Flying) {
+    pub(crate) fn receive(&mut self, to: usize, in_flight: InFlight) {
         let now_ms = self.now_ms;
-        let from = SocketAddr::from(([127, 0, 0, 1], 1000 + u16::try_from(flying.from).unwrap()));
+        let from = SocketAddr::from((
+            [127, 0, 0, 1],
+            1000 + u16::try_from(in_flight.from).unwrap(),
+        ));
         let swim = &mut self.nodes[to].swim;
-        swim.merge(flying.rumours, now_ms);
-        swim.record_contact(&host(flying.from), flying.incarnation, now_ms);
-        let out = swim.receive(from, flying.message, now_ms);
+        swim.merge(in_flight.updates, now_ms);
+        swim.record_contact(&host(in_flight.from), in_flight.incarnation, now_ms);
+        let out = swim.receive(from, in_flight.message, now_ms);
         self.send(to, out);
     }
 
@@ -189,17 +192,17 @@
         view.get(&host(of)).map_or(MemberState::Dead, |m| m.state)
     }
 
-    /// All that run believe `state` of node `of`.
-    pub(crate) fn all_say(&self, of: usize, state: MemberState) -> bool {
+    /// Whether all running nodes list node `of` in `state`.
+    pub(crate) fn all_see(&self, of: usize, state: MemberState) -> bool {
         let others = (0..self.nodes.len()).filter(|i| *i != of && self.nodes[*i].up);
         others.into_iter().all(|i| self.state(i, of) == state)
     }
 
-    pub(crate) fn all_agree(&self) -> bool {
+    pub(crate) fn views_agree(&self) -> bool {
         let up: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.nodes[*i].up)
             .collect();
-        let seen = |at: &usize| self.nodes[*at].swim.view().members;
-        up.iter().all(|at| seen(at) == seen(&up[0]))
+        let members_at = |at: &usize| self.nodes[*at].swim.view().members;
+        up.iter().all(|at| members_at(at) == members_at(&up[0]))
     }
 }
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! The configuration that tests put in force.
+//! Configuration changes that tests apply.
 
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Puts the upstream that `process` runs in the pool of `service`.
+/// A change that adds the upstream run by `process` to the pool of `service`.
 pub(crate) fn upstream(process: &Process, service: &str, i: usize) -> Op {
     Op::PutUpstream(upstream_at(&process.name, service, i, process.addr))
 }
--- a/tests/support/options.rs
+++ b/tests/support/options.rs
@@ -1,4 +1,4 @@
-//! What a fleet of processes is started with.
+//! Options of a fleet of processes.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 use super::caller::set_knobs;
 use super::process::Process;
 
-/// What a fleet is started with.
+/// Options of [`Fleet::start_with`](super::Fleet::start_with).
 #[derive(Clone)]
 pub(crate) struct Options {
     pub(crate) shape: Shape,
-    /// Knobs as JSON.
+    /// The engines' knobs as JSON.
     pub(crate) engine: String,
-    /// Knobs as JSON.
+    /// The plain services' knobs as JSON.
     pub(crate) plain: String,
     /// Put a fault relay between each router and the platform.
     pub(crate) platform_relays: bool,
     /// Put a fault relay between the routers and each engine.
     pub(crate) engine_relays: bool,
-    /// How long the log keeps records, at the platform and in the routers' settings.
+    /// The log's retention, at the platform and in the routers' settings.
     pub(crate) retention_ms: Option<u64>,
-    /// Requests each upstream may run at once, as the configuration says.
+    /// Configured concurrent requests of each upstream.
     pub(crate) slots: u32,
     /// The `limits` of the routers' settings.
     pub(crate) limits: Value,
-    /// Other parts of the routers' settings, in place of the usual ones.
+    /// Overrides for other sections of the routers' settings.
     pub(crate) settings: Value,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// How many of each to start.
+/// The number of processes of each kind.
 #[derive(Clone, Copy)]
 pub(crate) struct Shape {
     pub(crate) routers: u8,
@@ -57,7 +57,7 @@
     pub(crate) plains: u8,
 }
 
-/// A fault relay and where its knobs are set.
+/// A fault relay and the address of its controls.
 pub(crate) struct Relay {
     pub(super) process: Process,
     pub(crate) control: SocketAddr,
@@ -68,7 +68,7 @@
         set_knobs(self.control, &knobs).await;
     }
 
-    /// Cuts the connections that are open now.
+    /// Cuts all open connections.
     pub(crate) async fn cut(&self) {
         self.set(json!({ "cut": true })).await;
     }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a test starts, signals and ends: only those, by their own id.
+//! Processes that a test starts, signals and stops, by process id.
 
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use super::caller::wait_until;
 
-/// One process that the test started.
+/// A process that the test started.
 pub(crate) struct Process {
     pub(crate) name: String,
     pub(crate) child: Child,
@@ -25,27 +25,27 @@
 }
 
 impl Process {
-    /// Ends the process at once, as a power cut would.
+    /// Kills the process with SIGKILL, without a clean shutdown.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Stops the process's clock: it keeps its sockets and answers nothing.
+    /// Suspends the process with SIGSTOP: its sockets stay open and nothing is answered.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    pub(crate) fn wake(&self) {
+    pub(crate) fn unfreeze(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Says that the settings file has changed.
-    pub(crate) fn hang_up(&self) {
+    /// Signals a change of the settings file with SIGHUP.
+    pub(crate) fn signal_reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop with SIGTERM.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
@@ -54,7 +54,7 @@
         self.child.try_wait().unwrap()
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process exits by itself.
     pub(crate) async fn wait_exit(&mut self) -> ExitStatus {
         let name = self.name.clone();
         let child = std::cell::RefCell::new(&mut self.child);
@@ -67,12 +67,12 @@
 
     fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).unwrap();
-        // A process that has ended can't be signalled: the test sees that elsewhere.
+        // Signalling an exited process fails; the test detects the exit elsewhere.
         let _ = kill(Pid::from_raw(id), signal);
     }
 }
 
-/// Starts the router or stand-in of this name; its output is added to `{name}.out` and `.err`.
+/// Starts a router or stand-in; its output is appended to `{name}.out` and `.err`.
 pub(crate) fn spawn(dir: &Path, name: &str, mut command: Command, addr: SocketAddr) -> Process {
     let open = |suffix: &str| {
         let path = dir.join(format!("{name}.{suffix}"));
@@ -88,7 +88,7 @@
     Process { name, child, addr }
 }
 
-pub(crate) fn standin(dir: &Path, name: &str, args: &[&str], at: SocketAddr) -> Process {
+pub(crate) fn spawn_standin(dir: &Path, name: &str, args: &[&str], at: SocketAddr) -> Process {
     let program = standins_program();
     assert!(
         program.exists(),
@@ -99,7 +99,7 @@
     spawn(dir, name, command, at)
 }
 
-/// The router's program: the one cargo built for a test, or the long run itself.
+/// The router's executable: the one cargo built for a test, or the current one in the long run.
 pub(crate) fn router_program() -> PathBuf {
     match option_env!("CARGO_BIN_EXE_cassiagrade") {
         Some(path) => PathBuf::from(path),
--- a/tests/support/raw.rs
+++ b/tests/support/raw.rs
@@ -1,4 +1,4 @@
-//! Callers that speak bytes of their own choice, and what router 0 holds of them.
+//! Callers that send raw bytes, and gauges of router 0.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,10 +6,10 @@
 
 use super::{ACCOUNT_KEY, Fleet, call, get, wait_until};
 
-/// Only ends a test that hangs.
+/// Upper limit that ends a hanging test.
 const READ_LIMIT: Duration = Duration::from_secs(30);
 
-/// A connection that speaks bytes of its own choice.
+/// A connection that sends raw bytes.
 pub(crate) struct Raw(pub(crate) TcpStream);
 
 impl Raw {
@@ -24,8 +24,8 @@
         self
     }
 
-    /// Everything until the router ends the connection.
-    pub(crate) fn rest(&mut self) -> String {
+    /// Everything received until the router closes the connection.
+    pub(crate) fn read_to_close(&mut self) -> String {
         let mut bytes = Vec::new();
         match self.0.read_to_end(&mut bytes) {
             Ok(_) => {}
@@ -36,32 +36,35 @@
     }
 }
 
-/// The head of a POST with the account's key, but for its last empty line.
+/// The head of a POST with the account's key, without its final empty line.
 pub(crate) fn head(path: &str, length: usize) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: router\r\nauthorization: Bearer {ACCOUNT_KEY}\r\n\
          content-length: {length}\r\n"
     )
 }
-pub(crate) async fn entry(addr: SocketAddr) -> Option<u16> {
+pub(crate) async fn entry_status(addr: SocketAddr) -> Option<u16> {
     Some(call(addr, "GET", "/v1/entry", &[], "").await?.status)
 }
 
-pub(crate) async fn serves(fleet: &Fleet) {
+pub(crate) async fn wait_serving(fleet: &Fleet) {
     let addr = fleet.caller(0);
-    wait_until("service", || async { entry(addr).await == Some(200) }).await;
+    wait_until("service", || async {
+        entry_status(addr).await == Some(200)
+    })
+    .await;
 }
 
-pub(crate) async fn open_connections(fleet: &Fleet, wanted: u32) {
-    gauge(fleet, "cassiagrade_caller_connections", wanted).await;
+pub(crate) async fn wait_connections(fleet: &Fleet, wanted: u32) {
+    wait_gauge(fleet, "cassiagrade_caller_connections", wanted).await;
 }
 
-pub(crate) async fn in_flight(fleet: &Fleet, wanted: u32) {
-    gauge(fleet, "cassiagrade_requests_in_flight", wanted).await;
+pub(crate) async fn wait_in_flight(fleet: &Fleet, wanted: u32) {
+    wait_gauge(fleet, "cassiagrade_requests_in_flight", wanted).await;
 }
 
-/// Waits until a gauge of the router's metrics page has this value.
-pub(crate) async fn gauge(fleet: &Fleet, name: &str, wanted: u32) {
+/// Waits until a gauge on the router's metrics page has this value.
+pub(crate) async fn wait_gauge(fleet: &Fleet, name: &str, wanted: u32) {
     let line = format!("{name} {wanted}");
     let admin = fleet.admin(0);
     wait_until(&line, || async {
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -1,11 +1,11 @@
-//! What the stand-ins recorded, held against what callers were told.
+//! The runs that the stand-ins recorded, for comparison with what callers received.
 
 use std::collections::HashMap;
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// One run as an upstream recorded it.
+/// A run as an upstream recorded it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Run {
     pub(crate) request_id: String,
@@ -21,14 +21,14 @@
     pub(crate) upstream: String,
 }
 
-/// All runs at all upstreams, killed ones included.
+/// All runs at all upstreams, including killed ones.
 #[derive(Debug, Default)]
 pub(crate) struct Runs {
     pub(crate) all: Vec<Run>,
 }
 
 impl Runs {
-    /// Reads the records that the upstreams of these names printed to files in `dir`.
+    /// Reads the records that these upstreams wrote to files in `dir`.
     pub(crate) fn read(dir: &Path, upstreams: &[String]) -> Self {
         let mut all = Vec::new();
         for name in upstreams {
@@ -46,12 +46,12 @@
         Self { all }
     }
 
-    pub(crate) fn of_request(&self, request_id: &str) -> usize {
-        let same = self.all.iter().filter(|r| r.request_id == request_id);
-        same.count()
+    pub(crate) fn count_by_request(&self, request_id: &str) -> usize {
+        let matching = self.all.iter().filter(|r| r.request_id == request_id);
+        matching.count()
     }
 
-    /// Runs by idempotency key, of requests that had one.
+    /// The number of runs by idempotency key, of requests that had one.
     pub(crate) fn by_key(&self) -> HashMap<&str, usize> {
         let mut counts = HashMap::new();
         for run in self.all.iter().filter(|r| !r.idempotency_key.is_empty()) {
@@ -60,8 +60,8 @@
         counts
     }
 
-    pub(crate) fn at(&self, upstream: &str) -> usize {
-        let same = self.all.iter().filter(|r| r.upstream == upstream);
-        same.count()
+    pub(crate) fn count_at(&self, upstream: &str) -> usize {
+        let matching = self.all.iter().filter(|r| r.upstream == upstream);
+        matching.count()
     }
 }
