--- a/tests/support/routed.rs
+++ b/tests/support/routed.rs
@@ -1,4 +1,5 @@
-//! Routers on the keyed log: a store, upstreams and callers that speak the users' platform's dialect.
+//! Routers on the keyed log: a store, upstreams and callers that use the users' platform's
+//! protocol.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,10 +12,10 @@
 use standins::backend::{Run, record};
 use tempfile::TempDir;
 
-use super::caller::{Caller, Received, comes_true, get, post, set_knobs, wait_until};
+use super::caller::{Caller, Received, get, poll_until, post, set_knobs, wait_until};
 use super::fleet::{addr, free_prefix};
 use super::options::Relay;
-use super::process::{Process, router_program, spawn, standin};
+use super::process::{Process, router_program, spawn, spawn_standin};
 
 const CALLER_PORT: u16 = 7001;
 const PEER_PORT: u16 = 7002;
@@ -31,18 +32,18 @@
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// How many of what.
+/// The size and options of a fleet on the keyed log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Size {
+pub(crate) struct FleetSize {
     pub(crate) routers: u8,
     pub(crate) upstreams: u8,
-    /// Put a relay between each router and the store.
+    /// Whether to put a relay between each router and the store.
     pub(crate) store_relays: bool,
-    /// Files that each router takes to be its own; 0: not known.
+    /// The open-file limit in each router's settings; 0: not set.
     pub(crate) max_open_files: u32,
 }
 
-impl Default for Size {
+impl Default for FleetSize {
     fn default() -> Self {
         Self {
             routers: 1,
@@ -53,22 +54,22 @@
     }
 }
 
-pub(crate) struct Routed {
+pub(crate) struct RoutedFleet {
     dir: TempDir,
     prefix: [u8; 2],
     pub(crate) store: Process,
     pub(crate) routers: Vec<Process>,
     pub(crate) upstreams: Vec<Process>,
     pub(crate) store_relays: Vec<Relay>,
-    /// Names of all upstreams that ever ran.
+    /// Names of all upstream processes ever started.
     pub(crate) upstream_names: Vec<String>,
-    /// Routers that were told to stop and not started again.
+    /// Routers that were stopped and not restarted.
     pub(crate) stopping: Vec<usize>,
     max_open_files: u32,
     version: u64,
 }
 
-/// The routes that every test has: one a way to repeat.
+/// The routes of every test, one for each retry rule.
 pub(crate) fn routes() -> Vec<Value> {
     let route = |name: &str, kind: &str, more: Value| {
         let mut route = json!({
@@ -81,22 +82,22 @@
         }
         route
     };
-    let gap = json!({ "target_gap_ms": 300, "session_affinity": true });
+    let streaming = json!({ "target_gap_ms": 300, "session_affinity": true });
     let resumed = json!({ "target_gap_ms": 300, "session_affinity": true, "stream_resume": true });
     vec![
         route("get", "idempotent", json!({})),
         route("ticket", "non_idempotent", json!({ "max_attempts": 1 })),
         route("resumed", "streaming", resumed),
-        route("once", "streaming", gap),
+        route("once", "streaming", streaming),
     ]
 }
 
-impl Routed {
-    pub(crate) async fn start(size: Size) -> Self {
+impl RoutedFleet {
+    pub(crate) async fn start(size: FleetSize) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let prefix = free_prefix();
         let store_addr = addr(prefix, 250, STANDIN_PORT);
-        let store = standin(dir.path(), "store", &["keyed"], store_addr);
+        let store = spawn_standin(dir.path(), "store", &["keyed"], store_addr);
         wait_until("the store", || async {
             get(store_addr, "/log-newest?stream_name=keyed.op")
                 .await
@@ -143,11 +144,11 @@
         let args = ["relay", "--target", &target, "--control", &control_arg];
         let name = format!("store-relay-{i}");
         let at = addr(self.prefix, 150 + i, STANDIN_PORT);
-        let process = standin(self.dir.path(), &name, &args, at);
+        let process = spawn_standin(self.dir.path(), &name, &args, at);
         Relay { process, control }
     }
 
-    /// Starts one more upstream, or the same anew.
+    /// Starts or restarts upstream `i`.
     pub(crate) fn spawn_upstream(&mut self, i: u8) {
         let name = format!("upstream-{i}-{}", self.upstream_names.len());
         let store = self.store.addr.to_string();
@@ -164,7 +165,7 @@
             "64",
         ];
         let at = addr(self.prefix, 100 + i, STANDIN_PORT);
-        let process = standin(self.dir.path(), &name, &args, at);
+        let process = spawn_standin(self.dir.path(), &name, &args, at);
         self.upstream_names.push(name);
         let at = usize::from(i);
         if at < self.upstreams.len() {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Starts router `i`, or starts it anew.
+    /// Starts or restarts router `i`.
     pub(crate) fn spawn_router(&mut self, i: u8) {
         let name = format!("router-{i}");
         let path = self.settings_path(i);
@@ -235,8 +236,8 @@
         addr(self.prefix, 1 + i, ENTRY_PORT)
     }
 
-    /// The addresses that router `i` sends callers to.
-    pub(crate) async fn entry(&self, i: u8) -> Vec<String> {
+    /// The addresses in router `i`'s entry answer.
+    pub(crate) async fn entry_addresses(&self, i: u8) -> Vec<String> {
         let at = addr(self.prefix, 1 + i, ENTRY_PORT);
         let path = format!("/resolve?name={HOST}&region=r&zone=z");
         let text = get(at, &path).await.unwrap_or_default();
@@ -252,21 +253,21 @@
         .await;
         let wanted = self.upstreams.len();
 
-        // Every upstream must have come, or a test meets fewer than it asked for.
-        let have_come = comes_true(|| async {
+        // Otherwise the test would run with fewer upstreams than it asked for.
+        let all_known = poll_until(|| async {
             let page = get(self.admin(i), "/metrics").await.unwrap_or_default();
             let line = format!("cassiagrade_upstreams_known {wanted}");
             page.lines().any(|l| l == line)
         })
         .await;
-        if !have_come {
-            let known = self.what_is_known(i).await;
-            panic!("waited too long for {wanted} upstreams\n{known}");
+        if !all_known {
+            let report = self.state_report(i).await;
+            panic!("timed out waiting for router {i} to know {wanted} upstreams\n{report}");
         }
     }
 
-    /// What router `i`, the store and the upstreams know: for a test that ends without what it waited for.
-    async fn what_is_known(&self, i: u8) -> String {
+    /// What router `i`, the store and the upstreams report, for the message of a failed wait.
+    async fn state_report(&self, i: u8) -> String {
         let page = get(self.admin(i), "/metrics").await.unwrap_or_default();
         let counts = page.lines().filter(|l| l.contains("upstreams_known"));
         let store = self.store.addr;
@@ -281,10 +282,9 @@
         lines.chain([self.log(i)]).collect::<Vec<_>>().join("\n")
     }
 
-    /// Waits until `count` upstreams have ended by themselves, and starts these anew.
-    ///
-    /// A process that crashes closes its connections before it can be waited for: its caller knows
-    /// first. Looked for once, it was taken for alive, never started again, and waited for in vain.
+    /// Waits until `count` upstreams have crashed and restarts them. A crashing process closes its
+    /// connections before it can be waited for, so the caller sees the crash first; a single check
+    /// could still take the process for alive and never restart it.
     pub(crate) async fn replace_crashed(&mut self, count: usize) {
         let upstreams = std::cell::RefCell::new(&mut self.upstreams);
         let ended = || {
@@ -302,13 +302,13 @@
         }
     }
 
-    /// Keeps the processes' output; tells where it is.
-    pub(crate) fn keep(&mut self) -> PathBuf {
+    /// Keeps the processes' output after the test and returns its directory.
+    pub(crate) fn keep_output(&mut self) -> PathBuf {
         self.dir.disable_cleanup(true);
         self.dir.path().to_owned()
     }
 
-    /// Writes the next configuration; `change` replaces whole fields.
+    /// Writes the next configuration; `change` replaces whole fields. Returns its version.
     pub(crate) async fn configure(&mut self, change: Value) -> u64 {
         self.version += 3;
         let mut config = json!({
@@ -329,18 +329,18 @@
     }
 
     pub(crate) async fn write_config(&self, text: &str) {
-        self.write_order("config", text).await;
+        self.write_operator_record("config", text).await;
     }
 
-    /// Evacuates a data centre, or takes that back.
+    /// Evacuates a data centre or undoes that.
     pub(crate) async fn evacuate(&self, data_center: &str, evacuated: bool) {
         let key = format!("evacuate/{data_center}");
-        self.write_order(&key, if evacuated { "{}" } else { "" })
+        self.write_operator_record(&key, if evacuated { "{}" } else { "" })
             .await;
     }
 
-    /// Writes what operators write under `key`; without a value, the key goes.
-    async fn write_order(&self, key: &str, value: &str) {
+    /// Writes an operator's record under `key`; an empty value deletes the key.
+    async fn write_operator_record(&self, key: &str, value: &str) {
         let body = record(key, value);
         let url = format!(
             "http://{}/log-append?stream_name=keyed.op&part=0",
@@ -348,7 +348,7 @@
         );
         let client = cyper::Client::new().unwrap();
         let sent = client.post(url).unwrap().body(body).send();
-        // A reply that a knob drops or holds back is part of the tests.
+        // A dropped or delayed reply is part of the tests.
         let _ = compio::time::timeout(Duration::from_secs(1), sent).await;
     }
 
@@ -363,7 +363,7 @@
         }
     }
 
-    /// Sends one request with a fresh id; returns the id and what came back.
+    /// Sends one request with a fresh id; returns the id and the response.
     pub(crate) async fn call(
         &self,
         router: u8,
@@ -381,7 +381,7 @@
         body: &str,
         headers: &[(&str, &str)],
     ) -> (String, Option<Received>) {
-        let id = fresh_id();
+        let id = new_request_id();
         let mut all = vec![("attempt-id", id.as_str()), ("host", HOST)];
         all.extend_from_slice(headers);
         let received = Caller::new(KEY)
@@ -390,7 +390,7 @@
         (id, received)
     }
 
-    /// Every run that any upstream recorded, by the caller's id of the request.
+    /// All recorded runs by the caller's request id.
     pub(crate) fn runs(&self) -> HashMap<String, Vec<Run>> {
         let mut runs: HashMap<String, Vec<Run>> = HashMap::new();
         for name in &self.upstream_names {
@@ -401,7 +401,7 @@
         runs
     }
 
-    /// Every run that the upstream process `name` recorded.
+    /// The runs that upstream process `name` recorded.
     pub(crate) fn runs_at(&self, name: &str) -> Vec<Run> {
         let path = self.dir.path().join(format!("{name}.out"));
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -413,19 +413,19 @@
         self.runs().get(id).map_or(0, Vec::len)
     }
 
-    /// The log of router `i` with all that it logged before this call. Lines leave a router in order but some time later:
-    /// a request that is refused marks the place.
+    /// Returns router `i`'s log including everything logged before this call. A router writes its
+    /// lines in order but with a delay, so a refused request serves as the end marker.
     pub(crate) async fn log_until_now(&self, i: u8) -> String {
         let (id, received) = self.call(i, "/no-route", "").await;
         assert_eq!(received.map(|r| r.status), Some(404));
-        wait_until("the log to hold all until now", || async {
+        wait_until("the end marker in the log", || async {
             self.log(i).contains(&id)
         })
         .await;
         self.log(i)
     }
 
-    /// The log of router `i` as far as it was written out, which may be behind what the router does.
+    /// Returns router `i`'s log as written so far, which may lag behind the router.
     pub(crate) fn log(&self, i: u8) -> String {
         let path = self.dir.path().join(format!("router-{i}.out"));
         std::fs::read_to_string(path).unwrap_or_default()
@@ -450,7 +450,7 @@
     }
 }
 
-pub(crate) fn fresh_id() -> String {
+pub(crate) fn new_request_id() -> String {
     let n = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
     format!("{:08x}{n:08x}", std::process::id())
 }
--- a/tests/thin_path.rs
+++ b/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! The main job over separate processes.
+//! The main request path over separate processes.
 
 mod support;
 
@@ -12,7 +12,8 @@
     plains: 1,
 };
 
-/// A caller asks any router for addresses, goes to the first and gets the streamed answer, whole.
+/// A caller asks any router for addresses, connects to the first and gets the whole streamed
+/// answer.
 #[compio::test]
 async fn chat_is_answered_whole() {
     let fleet = Fleet::start(SHAPE).await;
@@ -35,7 +36,7 @@
         .await
         .unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(
         answer.text(),
         expected_answer("why does the hub grind?", 12)
@@ -44,10 +45,10 @@
     assert!(answer.body.contains(": chunks=13"), "{}", answer.body);
     let events = fleet.events_until_now().await;
     let hopped = events.iter().any(|e| e["kind"] == "request_hopped");
-    assert!(!hopped, "the entry answer named the home");
+    assert!(!hopped, "the entry answer must name the home");
 }
 
-/// A caller that comes to a router which isn't the home is served all the same, over one hop.
+/// A caller that connects to a router which is not the home is still served, over one hop.
 #[compio::test]
 async fn every_router_serves_every_chat() {
     let fleet = Fleet::start(SHAPE).await;
@@ -62,10 +63,10 @@
     }
     let events = fleet.events_until_now().await;
     let hopped = events.iter().any(|e| e["kind"] == "request_hopped");
-    assert!(hopped, "some chats had their home elsewhere");
+    assert!(hopped, "no chat hopped to another home");
 }
 
-/// A counter call by path, and a chat without streaming.
+/// A plain service call by path, and a chat without streaming.
 #[compio::test]
 async fn plain_and_unstreamed_calls_are_answered() {
     let fleet = Fleet::start(SHAPE).await;
@@ -84,7 +85,7 @@
     assert_eq!(content, expected_answer("hello", 3));
 }
 
-/// An account that an operator creates at one router may call through another at once after.
+/// An account that an operator creates at one router can call through another right away.
 #[compio::test]
 async fn accepted_change_is_in_force_everywhere() {
     let fleet = Fleet::start(SHAPE).await;
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -18,11 +18,11 @@
 const HOSTS: usize = 3;
 const MESSAGES: usize = 300;
 
-/// Memory that a time line is written to.
+/// An in-memory output for a time line.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct MemoryOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for MemoryOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().write(bytes)
     }
@@ -37,18 +37,18 @@
     u64::try_from(since.as_millis()).unwrap()
 }
 
-fn late_ms() -> u64 {
+fn slow_clock_ms() -> u64 {
     now_ms() - 5_000
 }
 
-fn early_ms() -> u64 {
+fn fast_clock_ms() -> u64 {
     now_ms() + 3_000
 }
 
-fn hosts() -> Vec<(Events, Memory)> {
-    let clocks: [fn() -> u64; HOSTS] = [now_ms, late_ms, early_ms];
+fn hosts() -> Vec<(Events, MemoryOutput)> {
+    let clocks: [fn() -> u64; HOSTS] = [now_ms, slow_clock_ms, fast_clock_ms];
     let open = |(i, clock)| {
-        let memory = Memory::default();
+        let memory = MemoryOutput::default();
         let out = Box::new(memory.clone());
         let name = format!("router-{i}").into();
         (
@@ -60,7 +60,7 @@
 }
 
 /// Sends messages between hosts; returns how many effects sort before their causes.
-fn out_of_order(seed: u64, carry_stamps: bool) -> usize {
+fn count_misordered(seed: u64, carry_stamps: bool) -> usize {
     let mut rng = SmallRng::seed_from_u64(seed);
     let hosts = hosts();
     for n in 0..MESSAGES {
@@ -90,24 +90,24 @@
             .position(|e| e.request_id == id && e.kind == kind)
             .unwrap()
     };
-    let wrong = |n: &usize| at(*n, "request_started") < at(*n, "request_hopped");
-    (0..MESSAGES).filter(wrong).count()
+    let misordered = |n: &usize| at(*n, "request_started") < at(*n, "request_hopped");
+    (0..MESSAGES).filter(misordered).count()
 }
 
 /// An operator reads why a request failed over. Hosts' clocks differ by seconds, so by wall time
-/// the answer stands before the question. Stamps carried with messages put causes first.
+/// the answer comes before the request. Stamps carried with messages put causes first.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
 fn causes_sort_before_effects_when_clocks_differ(seed: u64) {
     assert!(
-        out_of_order(seed, false) > 0,
-        "clocks that differ show without stamps"
+        count_misordered(seed, false) > 0,
+        "without stamps clock differences must misorder events"
     );
-    assert_eq!(out_of_order(seed, true), 0);
+    assert_eq!(count_misordered(seed, true), 0);
 }
 
-fn timeline(dir: &Path, args: &[&str]) -> Output {
+fn run_timeline(dir: &Path, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cassiagrade"));
     command.current_dir(dir).arg("timeline").args(args);
     let output = command.output().unwrap();
@@ -121,22 +121,22 @@
     text.lines().map(parse).collect()
 }
 
-const ENTRY: &str = r#"{"at_ms":1000,"host":"a","kind":"request_received","request_id":"r1","account":"acme"}
+const ENTRY_EVENTS: &str = r#"{"at_ms":1000,"host":"a","kind":"request_received","request_id":"r1","account":"acme"}
 {"at_ms":1001,"host":"a","kind":"request_placed","request_id":"r1","upstream":"e1","chat":"c1","attempt":1}
 {"at_ms":1001,"seq":1,"host":"a","kind":"request_received","request_id":"r2","account":"other"}
 {"at_ms":1009,"host":"a","kind":"request_answered","request_id":"r1","took_us":5000,"detail":"3 chunks"}
 "#;
 
 /// The second process was killed while it wrote, and a line in the middle was damaged.
-const HOME: &str = r#"{"at_ms":1004,"host":"b","kind":"request_started","request_id":"r1","upstream":"e1","took_us":2500}
+const HOME_EVENTS: &str = r#"{"at_ms":1004,"host":"b","kind":"request_started","request_id":"r1","upstream":"e1","took_us":2500}
 {"at_ms":1005,"host":"b","ki###
 {"at_ms":1006,"host":"b","kind":"upstream_ejected","upstream":"e1"}
 {"at_ms":1007,"host":"b","kind":"request_ref"#;
 
 fn work_dir() -> tempfile::TempDir {
     let dir = tempfile::tempdir().unwrap();
-    std::fs::write(dir.path().join("a.out"), ENTRY).unwrap();
-    std::fs::write(dir.path().join("b.out"), HOME).unwrap();
+    std::fs::write(dir.path().join("a.out"), ENTRY_EVENTS).unwrap();
+    std::fs::write(dir.path().join("b.out"), HOME_EVENTS).unwrap();
     dir
 }
 
@@ -149,22 +149,22 @@
 #[test_case(&["--kind", "request_received"], 2; "by kind")]
 #[test_case(&["--from-ms", "1001", "--to-ms", "1006"], 3; "by time")]
 #[test_case(&["--account", "other", "--upstream", "e1"], 1; "filters combine")]
-fn filters(args: &[&str], expected: usize) {
+fn filters_select_events(args: &[&str], expected: usize) {
     let dir = work_dir();
     let mut all = args.to_vec();
     all.extend(["--json", "b.out", "a.out"]);
-    let output = timeline(dir.path(), &all);
+    let output = run_timeline(dir.path(), &all);
     let events = lines(&output);
     assert_eq!(events.len(), expected, "{events:?}");
     assert!(events.is_sorted_by_key(|e| (e.at_ms, e.seq)));
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(said, "2 damaged or cut lines skipped\n");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(stderr, "2 damaged or cut lines skipped\n");
 }
 
 #[test]
-fn request_is_told_as_a_story() {
+fn request_timeline_is_printed() {
     let dir = work_dir();
-    let output = timeline(dir.path(), &["--request", "r1", "a.out", "b.out"]);
+    let output = run_timeline(dir.path(), &["--request", "r1", "a.out", "b.out"]);
     let text = String::from_utf8(output.stdout).unwrap();
     let expected = [
         "request r1 of account acme, chat c1, came at 00:00:01.000 UTC",
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn file_that_is_missing_is_named() {
+fn missing_file_is_named() {
     let dir = work_dir();
     let mut command = Command::new(env!("CARGO_BIN_EXE_cassiagrade"));
     let output = command
@@ -188,14 +188,14 @@
         .output()
         .unwrap();
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(said.contains("c.out"), "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(stderr.contains("c.out"), "{stderr}");
 }
 
-/// A request that reached the wrong router hops to its engine's home: two processes write, and its
-/// story reads in the order in which things happened.
+/// A request that reached the wrong router hops to its engine's home: two processes write events,
+/// and its time line must be in causal order.
 #[compio::test]
-async fn hopped_request_reads_in_order() {
+async fn hopped_request_events_are_in_causal_order() {
     let fleet = Fleet::start_with(Options::new(3, 3, 0)).await;
     for i in 0..6_u8 {
         let body = chat_body(&format!("chat-{i}"), "why?", 3);
