--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,5 +1,4 @@
-//! Non-idempotent requests over separate processes. The runs that the plain service recorded
-//! decide.
+//! Non-idempotent requests over separate processes; runs are counted in the plain service's record.
 
 mod support;
 
@@ -94,7 +93,7 @@
 /// The upstream runs the request but its reply is lost. The caller and each resend must get the run
 /// state "unknown", and the request must run once.
 #[compio::test]
-async fn lost_upstream_is_never_tried_again() {
+async fn lost_upstream_reply_is_never_retried() {
     let fleet = Fleet::start(SHAPE).await;
     set_knobs(fleet.plains[0].addr, &json!({ "drop_replies": 1 })).await;
     let key = key();
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -23,7 +23,7 @@
 const CHAT: &str = "/v1/chat/completions";
 
 const SEED: u64 = 3;
-const MANGLED: u32 = 400;
+const MUTATED_REQUESTS: u32 = 400;
 
 /// Method, path, headers, body, and the field that the refusal names.
 type Case<'a> = (&'a str, &'a str, &'a [(&'a str, &'a str)], &'a str, &'a str);
@@ -213,14 +213,14 @@
 /// Valid requests with bytes flipped, removed, duplicated and inserted: the connection always ends,
 /// its resources are released, and the router keeps serving.
 #[compio::test]
-async fn mangled_requests_close_the_connection() {
+async fn mutated_requests_close_the_connection() {
     let fleet = fleet(json!({ "header_timeout_ms": 500, "body_timeout_ms": 500 })).await;
     let addr = fleet.caller(0);
     let mut rng = SmallRng::seed_from_u64(SEED);
-    for _ in 0..MANGLED {
+    for _ in 0..MUTATED_REQUESTS {
         let body = chat_body("c", "p", 1);
         let good = format!("{}connection: close\r\n\r\n{body}", head(CHAT, body.len()));
-        let bytes = mangle(good.into_bytes(), &mut rng);
+        let bytes = mutate(good.into_bytes(), &mut rng);
         let mut raw = Raw::open(addr);
         // The router may close the connection before everything is sent.
         let _ = raw.0.write_all(&bytes);
@@ -232,7 +232,7 @@
     wait_serving(&fleet).await;
 }
 
-fn mangle(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
+fn mutate(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
     for _ in 0..rng.random_range(1..8) {
         let at = rng.random_range(0..bytes.len());
         match rng.random_range(0..4) {
--- a/tests/cli_account.rs
+++ b/tests/cli_account.rs
@@ -56,7 +56,7 @@
 }
 
 #[compio::test]
-async fn broken_rules_are_refused() {
+async fn invalid_accounts_are_refused() {
     let fleet = Fleet::start(SHAPE).await;
     let work = WorkDir::for_fleet(&fleet);
     let err = work.fails(3, &["account", "put", "--key-sha256", "12", "shop"]);
--- a/tests/config_outage.rs
+++ b/tests/config_outage.rs
@@ -15,7 +15,7 @@
     plains: 1,
 };
 
-fn mark(host: &str) -> Op {
+fn drain_host(host: &str) -> Op {
     Op::MarkHost(HostMark {
         host: host.to_owned(),
         draining: true,
@@ -26,7 +26,7 @@
     let change = Change {
         against_version,
         author: author.to_owned(),
-        op: Some(mark(author)),
+        op: Some(drain_host(author)),
     };
     let request = ApplyRequest {
         change: Some(change),
@@ -51,7 +51,7 @@
     let served = call(fleet.caller(2), "POST", "/records/tickets", &[], "x").await;
     assert_eq!(served.unwrap().status, 200);
     set_knobs(fleet.platform.addr, &json!({})).await;
-    let after = fleet.accept(mark("router-9")).await;
+    let after = fleet.accept(drain_host("router-9")).await;
     fleet.wait_version(2, after.version).await;
 }
 
@@ -60,7 +60,7 @@
 #[compio::test]
 async fn fleet_without_log_and_peers_is_not_ready() {
     let mut fleet = Fleet::start(SHAPE).await;
-    let before = fleet.accept(mark("router-9")).await;
+    let before = fleet.accept(drain_host("router-9")).await;
     set_knobs(fleet.platform.addr, &json!({ "outage": true })).await;
     for i in 0..3 {
         fleet.restart_router(i);
@@ -99,7 +99,7 @@
 }
 
 /// Two operators change the same version at two routers at once. One change is accepted; the other
-/// is refused with the id of the winning change.
+/// is refused with the author and id of the winning change.
 #[compio::test]
 async fn losing_change_names_the_winner() {
     let fleet = Fleet::start(SHAPE).await;
@@ -149,7 +149,7 @@
         change: Some(Change {
             against_version: before.version,
             author: "ana".to_owned(),
-            op: Some(mark("ana")),
+            op: Some(drain_host("ana")),
         }),
     };
     let refused = operator.apply(request).await.unwrap_err().to_string();
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -11,7 +11,7 @@
 /// balanced over the engines, so a first request may hop; a returning one must be sent to the home
 /// of the engine that has its prefix cached.
 #[compio::test]
-async fn returning_chats_land_at_their_home() {
+async fn returning_chats_reach_their_home() {
     let fleet = Fleet::start_with(Options::new(3, 6, 0)).await;
     let caller = Caller::new(ACCOUNT_KEY);
     let mut hops = Vec::new();
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -86,7 +86,7 @@
     let share = on.refusals as f64 / on.answered as f64;
     assert!(
         on.late == 0 && share > 0.1,
-        "the surge was not refused at once: {share}"
+        "late answers, or too few refusals: {share} per answer"
     );
 }
 
@@ -110,10 +110,7 @@
 /// gets fewer.
 #[test]
 fn slow_engine_gets_fewer_jobs() {
-    let setup = Setup {
-        slowdown: 4.0,
-        ..BASE
-    };
+    let setup = Setup { slowdown: 4.0, ..BASE };
     let (off, on) = (off(&setup), run(&setup));
     let p99 = |out: &Outcome| quantile(&out.waits_ms.concat(), 0.99) / 1e3;
     assert!(p99(&off) > 20.0, "off: {} s", p99(&off));
--- a/tests/proof_3_not_run.rs
+++ b/tests/proof_3_not_run.rs
@@ -111,7 +111,7 @@
     println!("refused {refused} of 400");
     assert!(
         refused > 0,
-        "400 concurrent requests exceed two small engines"
+        "no request was refused with 400 concurrent requests"
     );
     for refusal in received.iter().filter(|r| r.not_run()) {
         let outcome = refusal.outcome();
--- a/tests/routed_path.rs
+++ b/tests/routed_path.rs
@@ -37,7 +37,7 @@
 }
 
 #[compio::test]
-async fn stream_comes_event_by_event() {
+async fn stream_is_passed_event_by_event() {
     let routed = RoutedFleet::start(FleetSize::default()).await;
     let (_, received) = routed.call(0, "/once/stream", "9").await;
     let received = received.unwrap();
@@ -114,9 +114,10 @@
     })
     .await;
     let removed = routed.caller(2).to_string();
-    wait_until("the change at router 0", || async {
-        !routed.entry_addresses(0).await.contains(&removed)
-    })
+    wait_until(
+        "router 0 to drop router 2 from its entry answers",
+        || async { !routed.entry_addresses(0).await.contains(&removed) },
+    )
     .await;
 }
 
@@ -127,7 +128,7 @@
     let routed = RoutedFleet::start(FleetSize::default()).await;
     let leaving = &routed.upstreams[0];
     support::set_knobs(leaving.addr, &json!({ "draining": true })).await;
-    wait_until("the change at router 0", || async {
+    wait_until("router 0 to log the drain", || async {
         routed.log(0).contains("draining: true")
     })
     .await;
--- a/tests/support/options.rs
+++ b/tests/support/options.rs
@@ -11,9 +11,9 @@
 #[derive(Clone)]
 pub(crate) struct Options {
     pub(crate) shape: Shape,
-    /// Knobs as JSON.
+    /// The engines' knobs as JSON.
     pub(crate) engine: String,
-    /// Knobs as JSON.
+    /// The plain services' knobs as JSON.
     pub(crate) plain: String,
     /// Put a fault relay between each router and the platform.
     pub(crate) platform_relays: bool,
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -192,7 +192,7 @@
     assert!(stderr.contains("c.out"), "{stderr}");
 }
 
-/// A request that reached the misordered router hops to its engine's home: two processes write events,
+/// A request that reached the wrong router hops to its engine's home: two processes write events,
 /// and its time line must be in causal order.
 #[compio::test]
 async fn hopped_request_events_are_in_causal_order() {
