--- a/benches/log.rs
+++ b/benches/log.rs
@@ -1,7 +1,8 @@
-//! What the log costs: `cargo bench --bench log -- claims` and `-- config`.
+//! Cost of the log: `cargo bench --bench log -- claims` and `-- config`.
 //!
-//! Claims: appends a second, added latency and bytes read, by group window, at a load of nine
-//! routers. Configuration: from accepted to in force on nine routers, healthy and after an outage.
+//! Claims: appends per second, added latency and bytes read, by group window, at the load of nine
+//! routers. Configuration: time from acceptance of a change until nine routers apply it, in normal
+//! operation and after an outage of the platform.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -9,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use cassiagrade::log::claimant::{Claimant, Grouping};
+use cassiagrade::log::claimant::{ClaimHandle, ClaimOptions};
 use cassiagrade::log::claims::Verdict;
 use cassiagrade::log::platform::Platform as Client;
 use cassiagrade::log::{Batch, Log, LogError, slot};
@@ -27,7 +28,7 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-const RUN: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 const RETENTION_MS: u64 = 86_400_000;
 const ROUTERS: u64 = 9;
 const CHANGES: u64 = 40;
@@ -35,24 +36,24 @@
 
 #[compio::main]
 async fn main() -> Result<()> {
-    let wanted = std::env::args().nth(1).unwrap_or_default();
-    if wanted != "config" {
+    let part = std::env::args().nth(1).unwrap_or_default();
+    if part != "config" {
         claims().await?;
     }
-    if wanted != "claims" {
+    if part != "claims" {
         config().await?;
     }
     Ok(())
 }
 
-/// The platform's log, with what goes through it counted.
+/// The platform's log, with a count of the bytes read.
 #[derive(Clone)]
-struct Counted {
+struct CountingLog {
     client: Client,
     read_bytes: Rc<Cell<usize>>,
 }
 
-impl Log for Counted {
+impl Log for CountingLog {
     async fn append(
         &self,
         stream: &str,
@@ -75,48 +76,48 @@
 }
 
 async fn claims() -> Result<()> {
-    println!("claims: every slot's reader in one task; claims and outcomes for each request");
+    println!("claims: the readers of all slots in one task; one claim and one outcome per request");
     println!(
         "requests/s  log ms  window ms  appends/s  added ms p50  p99  max  bytes read/s/router"
     );
     for (per_s, delay_ms) in [(30, 5), (300, 5), (1_000, 5), (300, 50)] {
         for window_ms in [0, 15, 30, 60, 120] {
-            one_window(per_s, delay_ms, window_ms).await?;
+            measure_window(per_s, delay_ms, window_ms).await?;
         }
     }
     Ok(())
 }
 
-async fn one_window(per_s: u32, delay_ms: u64, window_ms: u64) -> Result<()> {
-    let platform = Platform::bind(any()).await?;
+async fn measure_window(per_s: u32, delay_ms: u64, window_ms: u64) -> Result<()> {
+    let platform = Platform::bind(loopback_addr()).await?;
     set_knobs(&platform, &format!(r#"{{"delay_ms":{delay_ms}}}"#)).await?;
     let client = Client::open(&platform.addr.to_string(), Duration::from_secs(1))?;
     let read_bytes = Rc::new(Cell::new(0));
-    let log = Counted {
+    let log = CountingLog {
         client,
         read_bytes: read_bytes.clone(),
     };
-    let grouping = Grouping {
+    let grouping = ClaimOptions {
         window: Duration::from_millis(window_ms),
         retention_ms: RETENTION_MS,
     };
-    let claimant = Claimant::spawn(&log, grouping);
+    let claimant = ClaimHandle::spawn(&log, grouping);
     let added_us = Rc::new(RefCell::new(Vec::new()));
     let mut rng = SmallRng::seed_from_u64(1);
     let start = Instant::now();
     let mut due = Duration::ZERO;
-    while due < RUN {
+    while due < RUN_TIME {
         let gap_s = -rng.random_range(f64::EPSILON..1.0_f64).ln() / f64::from(per_s);
         due += Duration::from_secs_f64(gap_s);
         compio::time::sleep(due.saturating_sub(start.elapsed())).await;
-        compio::runtime::spawn(request(claimant.clone(), added_us.clone())).detach();
+        compio::runtime::spawn(run_request(claimant.clone(), added_us.clone())).detach();
     }
-    let appends = count(&platform).await?;
+    let appends = append_count(&platform).await?;
     let bytes = read_bytes.get() / usize::try_from(ROUTERS)?;
     let seconds = start.elapsed().as_secs_f64();
     let mut added_us = added_us.take();
     added_us.sort_unstable();
-    let at = |share: f64| ms(&added_us, share);
+    let at = |share: f64| quantile_ms(&added_us, share);
     println!(
         "{per_s:>10}  {delay_ms:>6}  {window_ms:>9}  {:>9.0}  {:>12.1}  {:>5.1}  {:>5.1}  {:>9.0}",
         f64::from(appends) / seconds,
@@ -128,13 +129,16 @@
     Ok(())
 }
 
-async fn request(claimant: Claimant, added_us: Rc<RefCell<Vec<u128>>>) {
+async fn run_request(claimant: ClaimHandle, added_us: Rc<RefCell<Vec<u128>>>) {
     let key = Uuid::now_v7();
-    let claim = slot::mint(&format!("acme/{key}"), "router-1", 1, 60_000);
-    let begun = Instant::now();
+    let claim = slot::new_claim(&format!("acme/{key}"), "router-1", 1, 60_000);
+    let start = Instant::now();
     let verdict = claimant.claim(claim.clone(), wall_ms()).await;
-    added_us.borrow_mut().push(begun.elapsed().as_micros());
-    assert!(matches!(verdict, Ok(Verdict::Won)), "{verdict:?}");
+    added_us.borrow_mut().push(start.elapsed().as_micros());
+    assert!(
+        matches!(verdict, Ok(Verdict::Won)),
+        "claim not won: {verdict:?}"
+    );
     let outcome = Outcome {
         id: claim.id,
         key: claim.key.clone(),
@@ -143,12 +147,12 @@
         body: "x".repeat(200),
         body_left_out: false,
     };
-    claimant.note(&claim.key, Body::Outcome(outcome));
+    claimant.append_later(&claim.key, Body::Outcome(outcome));
 }
 
 async fn config() -> Result<()> {
     let outage_s: u64 = std::env::var("OUTAGE_S").map_or(Ok(60), |v| v.parse())?;
-    let platform = Platform::bind(any()).await?;
+    let platform = Platform::bind(loopback_addr()).await?;
     let mut operators = Vec::new();
     for i in 0..ROUTERS {
         let router = spawn_router(&platform, i).await?;
@@ -157,12 +161,12 @@
     let mut healthy_us = Vec::new();
     for i in 0..CHANGES {
         let accepted = apply(&mut operators, i).await?;
-        healthy_us.push(in_force(&mut operators, accepted).await?);
+        healthy_us.push(wait_until_applied(&mut operators, accepted).await?);
     }
     report("healthy", &mut healthy_us);
     set_knobs(&platform, r#"{"outage":true}"#).await?;
     compio::time::sleep(Duration::from_secs(outage_s)).await;
-    let ended = Instant::now();
+    let outage_end = Instant::now();
     set_knobs(&platform, "{}").await?;
     let accepted = loop {
         match apply(&mut operators, CHANGES).await {
@@ -170,15 +174,15 @@
             Err(_) => compio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    let told = ended.elapsed();
-    let mut after_us = vec![in_force(&mut operators, accepted).await?];
+    let accept_delay = outage_end.elapsed();
+    let mut after_us = vec![wait_until_applied(&mut operators, accepted).await?];
     for i in 0..CHANGES / 2 {
         let accepted = apply(&mut operators, CHANGES + 1 + i).await?;
-        after_us.push(in_force(&mut operators, accepted).await?);
+        after_us.push(wait_until_applied(&mut operators, accepted).await?);
     }
     println!(
-        "after an outage of {outage_s} s: accepted {} ms after its end",
-        told.as_millis()
+        "after an outage of {outage_s} s: first change accepted {} ms after its end",
+        accept_delay.as_millis()
     );
     report("just after the outage", &mut after_us);
     Ok(())
@@ -187,10 +191,10 @@
 fn report(name: &str, us: &mut [u128]) {
     us.sort_unstable();
     println!(
-        "accepted to in force on {ROUTERS} routers, {name}: {} changes, p50 {:.0} ms, max {:.0} ms",
+        "time from acceptance to application on {ROUTERS} routers, {name}: {} changes, p50 {:.0} ms, max {:.0} ms",
         us.len(),
-        ms(us, 0.5),
-        ms(us, 1.0)
+        quantile_ms(us, 0.5),
+        quantile_ms(us, 1.0)
     );
 }
 
@@ -215,15 +219,15 @@
     Ok(reply.version)
 }
 
-/// Time until every router has `version`, from now.
-async fn in_force(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
-    let begun = Instant::now();
+/// Waits until every router has `version`, and returns the time from the call in microseconds.
+async fn wait_until_applied(operators: &mut [OperatorCaller], version: u64) -> Result<u128> {
+    let start = Instant::now();
     for operator in operators {
         while operator.config().await?.version < version {
             compio::time::sleep(Duration::from_millis(2)).await;
         }
     }
-    Ok(begun.elapsed().as_micros())
+    Ok(start.elapsed().as_micros())
 }
 
 async fn spawn_router(platform: &Platform, i: u64) -> Result<Router> {
@@ -248,18 +252,18 @@
     Ok(())
 }
 
-async fn count(platform: &Platform) -> Result<u32> {
+async fn append_count(platform: &Platform) -> Result<u32> {
     let client = cyper::Client::new()?;
     let url = format!("http://{}/counts", platform.addr);
     let text = client.get(url)?.send().await?.text().await?;
     Ok(serde_json::from_str(&text)?)
 }
 
-fn any() -> SocketAddr {
+fn loopback_addr() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-fn ms(sorted_us: &[u128], share: f64) -> f64 {
+fn quantile_ms(sorted_us: &[u128], share: f64) -> f64 {
     let last = sorted_us.len().saturating_sub(1);
     let at = (last as f64 * share).round() as usize;
     sorted_us.get(at).map_or(0.0, |us| *us as f64 / 1_000.0)
--- a/examples/longrun/faults.rs
+++ b/examples/longrun/faults.rs
@@ -108,7 +108,7 @@
         Fault::FreezeEngine => {
             harness.fleet.borrow().engines[engine].freeze();
             sleep_ms(ms).await;
-            harness.fleet.borrow().engines[engine].wake();
+            harness.fleet.borrow().engines[engine].unfreeze();
         }
         Fault::FlapEngine => {
             for _ in 0..3 {
@@ -192,7 +192,7 @@
     let from_ms = harness.now_ms();
     harness.fleet.borrow().routers[router].freeze();
     sleep_ms(ms).await;
-    harness.fleet.borrow().routers[router].wake();
+    harness.fleet.borrow().routers[router].unfreeze();
     let to_ms = harness.now_ms();
     harness
         .ledger
@@ -291,9 +291,9 @@
     if in_force_ms.is_some() {
         // Requests that routers admitted earlier may not have reached the engine yet.
         sleep_ms(STEP_MS * 4).await;
-        let before = harness.fleet.borrow().runs().at(&name);
+        let before = harness.fleet.borrow().runs().count_at(&name);
         sleep_ms(DRAIN_WATCH_MS).await;
-        let after = harness.fleet.borrow().runs().at(&name);
+        let after = harness.fleet.borrow().runs().count_at(&name);
         let new_runs = after - before;
         harness.ledger.borrow_mut().drains.push(UpstreamDrain {
             upstream: name,
@@ -356,12 +356,12 @@
     post(harness.platform, "/knobs", "{}").await;
     for i in 0..harness.engines.len() {
         set_relay_knobs(harness, RelayKind::Engine, i, json!({})).await;
-        harness.fleet.borrow().engines[i].wake();
+        harness.fleet.borrow().engines[i].unfreeze();
     }
     restart_exited(harness);
     for i in 0..harness.callers.len() {
         set_relay_knobs(harness, RelayKind::Platform, i, json!({})).await;
-        harness.fleet.borrow().routers[i].wake();
+        harness.fleet.borrow().routers[i].unfreeze();
         let has_exited = harness.fleet.borrow_mut().routers[i].exited().is_some();
         if has_exited {
             restart_router(harness, i);
--- a/examples/longrun/ledger.rs
+++ b/examples/longrun/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::support::Told;
+use crate::support::CallOutcome;
 
 /// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -20,7 +20,7 @@
     pub(crate) request_id: String,
     /// Idempotency key; empty unless the request is an entry.
     pub(crate) key: String,
-    pub(crate) result: Told,
+    pub(crate) result: CallOutcome,
     /// Whether the content of the response belongs to the request.
     pub(crate) content_matches: bool,
     /// Whether a successful response had begun.
--- a/examples/longrun/load.rs
+++ b/examples/longrun/load.rs
@@ -12,7 +12,7 @@
 use crate::harness::Harness;
 use crate::ledger::{Outcome, RequestKind};
 use crate::support::{
-    ACCOUNT_KEY, Caller, LARGEST_KEY, Received, Told, account, apply_at, chat_body,
+    ACCOUNT_KEY, CallOutcome, Caller, LARGEST_KEY, Received, account, apply_at, chat_body,
     expected_answer, get, sleep_ms,
 };
 
@@ -84,12 +84,16 @@
         .flatten();
     let began = received.is_some();
     let received = received.unwrap_or_default();
-    let result = if began { received.told() } else { Told::Cut };
+    let result = if began {
+        received.outcome()
+    } else {
+        CallOutcome::Cut
+    };
     let outcome = Outcome {
         kind: request.kind,
         request_id: received.header("x-request-id").to_owned(),
         key: request.key.to_owned(),
-        content_matches: result != Told::Served || is_own(&received),
+        content_matches: result != CallOutcome::Served || is_own(&received),
         result,
         began: began && received.status == 200,
         router,
@@ -112,7 +116,7 @@
     let first = call_once(harness, caller, router, request, &is_own).await;
     let result = first.outcome.result.clone();
     harness.ledger.borrow_mut().outcomes.push(first.outcome);
-    let Told::Refused {
+    let CallOutcome::Refused {
         retry_after_ms,
         cause,
         ..
--- a/examples/longrun/verdict.rs
+++ b/examples/longrun/verdict.rs
@@ -7,7 +7,7 @@
 use crate::harness::Harness;
 use crate::ledger::{Ledger, Outcome, RequestKind};
 use crate::support::{
-    ACCOUNT_KEY, Caller, OPERATOR_KEY, Runs, Told, chat_body, expected_answer, sleep_ms,
+    ACCOUNT_KEY, CallOutcome, Caller, OPERATOR_KEY, Runs, chat_body, expected_answer, sleep_ms,
 };
 use cassiagrade::serve::operator::OperatorCaller;
 
@@ -98,7 +98,10 @@
 }
 
 fn answers_match(ledger: &Ledger) -> Check {
-    let served = ledger.outcomes.iter().filter(|o| o.result == Told::Served);
+    let served = ledger
+        .outcomes
+        .iter()
+        .filter(|o| o.result == CallOutcome::Served);
     check("complete answers belong to their request", served, |o| {
         (!o.content_matches).then(|| format!("{o:?}"))
     })
@@ -121,7 +124,7 @@
 }
 
 fn is_reported_not_run(outcome: &Outcome) -> bool {
-    matches!(&outcome.result, Told::Refused { run_state, .. } if run_state == "not_run")
+    matches!(&outcome.result, CallOutcome::Refused { run_state, .. } if run_state == "not_run")
 }
 
 fn at_most_once(ledger: &Ledger, runs: &Runs) -> Check {
@@ -140,7 +143,7 @@
         |o| {
             let ran = counts.get(o.key.as_str()).copied().unwrap_or(0);
             let violated = match o.result {
-                Told::Served => ran != 1,
+                CallOutcome::Served => ran != 1,
                 _ if is_reported_not_run(o) => ran > 0,
                 _ => ran > 1,
             };
@@ -181,7 +184,8 @@
             let was_running = o.router == stop.router && o.from_ms < stop.at_ms;
             was_running && o.to_ms >= stop.at_ms && o.to_ms <= end_ms + 1_000
         });
-        let cut = cut.filter(|o| o.began && o.result == Told::Cut && !overlaps_router_fault(o));
+        let cut =
+            cut.filter(|o| o.began && o.result == CallOutcome::Cut && !overlaps_router_fault(o));
         violations.extend(cut.map(|o| format!("cut by the stop at {} ms: {o:?}", stop.at_ms)));
     }
     Check {
@@ -237,9 +241,9 @@
         let mut last = None;
         for _ in 0..RECOVERY_ATTEMPTS {
             let received = Caller::new(ACCOUNT_KEY).chat(addr, &body).await;
-            let result = received.as_ref().map(crate::support::Received::told);
+            let result = received.as_ref().map(crate::support::Received::outcome);
             let text = received.map(|r| r.text());
-            if result == Some(Told::Served) && text == Some(expected_answer(&prompt, 5)) {
+            if result == Some(CallOutcome::Served) && text == Some(expected_answer(&prompt, 5)) {
                 last = None;
                 break;
             }
@@ -267,7 +271,10 @@
     lines.push(format!("runs recorded by upstreams: {}", runs.all.len()));
     lines.push(refusals(ledger));
     let retries: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.is_retry).collect();
-    let served = retries.iter().filter(|o| o.result == Told::Served).count();
+    let served = retries
+        .iter()
+        .filter(|o| o.result == CallOutcome::Served)
+        .count();
     let share = percent(served, retries.len());
     lines.push(format!(
         "retries at the time given by a refusal: {}, served {share}",
@@ -286,11 +293,11 @@
 
 fn outcome_summary(ledger: &Ledger, kind: RequestKind) -> String {
     let outcomes: Vec<&Outcome> = ledger.outcomes.iter().filter(|o| o.kind == kind).collect();
-    let count = |is_counted: &dyn Fn(&Told) -> bool| {
+    let count = |is_counted: &dyn Fn(&CallOutcome) -> bool| {
         outcomes.iter().filter(|o| is_counted(&o.result)).count()
     };
-    let served = count(&|t| *t == Told::Served);
-    let cut = count(&|t| *t == Told::Cut);
+    let served = count(&|t| *t == CallOutcome::Served);
+    let cut = count(&|t| *t == CallOutcome::Cut);
     let refused = outcomes.len() - served - cut;
     let share = percent(served, outcomes.len());
     format!(
@@ -303,7 +310,7 @@
 fn refusals(ledger: &Ledger) -> String {
     let mut by_cause: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for outcome in &ledger.outcomes {
-        if let Told::Refused {
+        if let CallOutcome::Refused {
             cause, run_state, ..
         } = &outcome.result
         {
--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use crate::support::routed::{HOST, KEY, Routed, fresh_id};
+use crate::support::routed::{HOST, KEY, RoutedFleet, new_request_id};
 use crate::support::{Caller, Received, get, sleep_ms};
 
 /// Timeout of a request, also sent to the router as its deadline.
@@ -64,7 +64,7 @@
 }
 
 impl Callers {
-    pub(crate) fn spawn(routed: &Routed, count: u32, seed: u64) -> Self {
+    pub(crate) fn spawn(routed: &RoutedFleet, count: u32, seed: u64) -> Self {
         let callers = Self {
             stop: Rc::default(),
             records: Rc::default(),
@@ -166,7 +166,7 @@
         ];
         let kind = kinds[self.rng.random_range(0..kinds.len())];
         let body = self.rng.random_range(2..30_u32).to_string();
-        let id = fresh_id();
+        let id = new_request_id();
         let deadline_ms = DEADLINE.as_millis().to_string();
         let headers = [
             ("attempt-id", id.as_str()),
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use serde_json::{Value, json};
 
-use crate::support::routed::{Routed, routes};
+use crate::support::routed::{RoutedFleet, routes};
 use crate::support::{post, sleep_ms};
 
 /// Maximum pause between two faults; shorter than most faults last, so that they overlap.
@@ -38,7 +38,7 @@
 }
 
 /// Injects faults until `until`, then reverts all that are active. Prints each fault.
-pub(crate) async fn inject_until(routed: &mut Routed, rng: &mut SmallRng, until: Instant) {
+pub(crate) async fn inject_until(routed: &mut RoutedFleet, rng: &mut SmallRng, until: Instant) {
     let start = Instant::now();
     let mut active: Vec<ActiveFault> = Vec::new();
     while Instant::now() < until {
@@ -82,13 +82,13 @@
 }
 
 /// Reverts due faults that end by a signal or a process start.
-fn revert_due(routed: &mut Routed, active: &mut Vec<ActiveFault>, now: Instant) {
+fn revert_due(routed: &mut RoutedFleet, active: &mut Vec<ActiveFault>, now: Instant) {
     active.retain(|fault| {
         if fault.reverts_at > now {
             return true;
         }
         match fault.revert {
-            Revert::ResumeRouter(i) => routed.routers[usize::from(i)].wake(),
+            Revert::ResumeRouter(i) => routed.routers[usize::from(i)].unfreeze(),
             Revert::StartRouter(i) => {
                 let index = usize::from(i);
                 if routed.routers[index].exited().is_none() {
@@ -97,7 +97,7 @@
                 routed.stopping.retain(|s| *s != index);
                 routed.spawn_router(i);
             }
-            Revert::ResumeUpstream(i) => routed.upstreams[i].wake(),
+            Revert::ResumeUpstream(i) => routed.upstreams[i].unfreeze(),
             Revert::ClearStore | Revert::ClearRelay(_) | Revert::ClearUpstream(_) => return true,
         }
         false
@@ -105,7 +105,7 @@
 }
 
 /// Reverts due faults that end by resetting knobs.
-async fn clear_due_knobs(routed: &Routed, active: &mut Vec<ActiveFault>, now: Instant) {
+async fn clear_due_knobs(routed: &RoutedFleet, active: &mut Vec<ActiveFault>, now: Instant) {
     let due: Vec<ActiveFault> = active
         .extract_if(.., |fault| fault.reverts_at <= now)
         .collect();
@@ -123,7 +123,7 @@
 }
 
 async fn inject(
-    routed: &mut Routed,
+    routed: &mut RoutedFleet,
     rng: &mut SmallRng,
     active: &[ActiveFault],
 ) -> (String, Option<Revert>) {
@@ -153,7 +153,7 @@
         }
         3 => {
             if !is_faulted {
-                routed.routers[router].hang_up();
+                routed.routers[router].signal_reload();
             }
             (
                 format!("router {i} sent SIGHUP to reload its settings"),
@@ -212,7 +212,7 @@
 }
 
 /// Sets an upstream's knobs; prints a line if the upstream is frozen or was killed.
-async fn set_upstream(routed: &Routed, upstream: usize, knobs: &Value) {
+async fn set_upstream(routed: &RoutedFleet, upstream: usize, knobs: &Value) {
     let text = knobs.to_string();
     let set = post(routed.upstreams[upstream].addr, "/knobs", &text);
     if compio::time::timeout(KNOBS_TIMEOUT, set).await.is_err() {
--- a/examples/soak/verdict.rs
+++ b/examples/soak/verdict.rs
@@ -6,7 +6,7 @@
 use standins::backend::Run;
 
 use crate::callers::RequestRecord;
-use crate::support::routed::Routed;
+use crate::support::routed::RoutedFleet;
 use crate::support::{Received, sleep_ms};
 
 /// Time within which every router must serve again after the last fault.
@@ -20,7 +20,7 @@
 const RETRY_BURST: f64 = 50.0;
 
 /// Checks that every router serves again soon after the last fault.
-pub(crate) async fn recovery(routed: &Routed) -> Vec<String> {
+pub(crate) async fn recovery(routed: &RoutedFleet) -> Vec<String> {
     let mut violations = Vec::new();
     for i in 0..routed.routers.len() {
         let i = u8::try_from(i).unwrap_or_default();
@@ -41,7 +41,7 @@
 }
 
 /// Checks every guarantee that is visible to callers and upstreams.
-pub(crate) fn check(routed: &Routed, records: &[RequestRecord]) -> Vec<String> {
+pub(crate) fn check(routed: &RoutedFleet, records: &[RequestRecord]) -> Vec<String> {
     let runs = routed.runs();
     let mut violations = Vec::new();
     let mut extra_runs = 0;
@@ -93,7 +93,7 @@
             record.kind, received.status
         ));
     }
-    if received.status == 200 && received.whole {
+    if received.status == 200 && received.complete {
         violations.extend(wrong_answer(record, received, runs));
     }
     violations
@@ -121,7 +121,7 @@
 }
 
 /// Finds routers whose version in force decreased without a restart.
-fn version_regressions(routed: &Routed) -> Vec<String> {
+fn version_regressions(routed: &RoutedFleet) -> Vec<String> {
     const VERSION_PREFIX: &str = "\"message\":\"configuration ";
     let mut violations = Vec::new();
     for i in 0..routed.routers.len() {
@@ -166,13 +166,13 @@
         let matching = count(&|t| {
             t.received
                 .as_ref()
-                .is_some_and(|r| r.status == status && r.whole)
+                .is_some_and(|r| r.status == status && r.complete)
         });
         parts.push(format!("{matching} with {status}"));
     }
     parts.push(format!(
         "{} cut",
-        count(&|t| t.received.as_ref().is_some_and(|r| !r.whole))
+        count(&|t| t.received.as_ref().is_some_and(|r| !r.complete))
     ));
     parts.push(format!(
         "{} without a response",
--- a/src/path/callers.rs
+++ b/src/path/callers.rs
@@ -16,7 +16,7 @@
 use crate::path::routes::CallerLimits;
 use crate::path::{RequestPath, request};
 use crate::schema::settings::Limits;
-use crate::socket::watch_silence;
+use crate::socket::set_keepalive;
 
 /// The connection of a caller that reads nothing for this long is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -41,7 +41,7 @@
     let full = Refused::not_run(
         Cause::ConnectionLimit,
         CONNECTION_LIMIT_RETRY_MS,
-        accept::FULL,
+        accept::CONNECTION_LIMIT_MESSAGE,
     );
     let serve = move |stream, permit| serve(stream, path.clone(), permit);
     compio::runtime::spawn(accept::run(listener, limits, full.raw::<D>(), serve)).detach();
@@ -53,7 +53,7 @@
     path: Rc<RequestPath<D>>,
     _permit: ConnectionPermit,
 ) {
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let bounds = bounds(&path.state.deployment().limits);
     let drain = path.drain.clone();
     let handle = move |request| request::handle(path.clone(), request);
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/news_fuzz_tests.rs
@@ -8,7 +8,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use test_case::test_case;
 
-use crate::log::fuzz_tests::{count_step, finds, finds_nothing, pick};
+use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::mutation::Mutation;
 use crate::path::news_fake_tests::UpstreamWrite;
 use crate::path::news_world_tests::{ROUTERS, SUSPENSION_MS, World, host};
@@ -133,16 +133,16 @@
 /// agree soon after.
 #[test]
 fn state_of_routers_follows_the_log() {
-    finds_nothing::<Fleet>("beliefs");
+    check_no_failure::<Fleet>("beliefs");
 }
 
-#[test_case(Mutation::BelieveOldMarks)]
-#[test_case(Mutation::KeepChangesOverGap)]
-#[test_case(Mutation::TakeOldRecords)]
-#[test_case(Mutation::TakeOlderVersion)]
-#[test_case(Mutation::TakeOldOrders)]
-#[test_case(Mutation::DoubtNothing)]
-#[test_case(Mutation::HoldRemovalsBack)]
+#[test_case(Mutation::KeepEvidenceAfterSuspend)]
+#[test_case(Mutation::KeepChangesAcrossGap)]
+#[test_case(Mutation::AcceptOldRecords)]
+#[test_case(Mutation::AcceptOlderVersion)]
+#[test_case(Mutation::AcceptOldEvacuations)]
+#[test_case(Mutation::RemoveExpiredAtOnce)]
+#[test_case(Mutation::WithholdUnconfirmedRemovals)]
 fn mutation_is_found(mutation: Mutation) {
-    finds::<Fleet>("beliefs", mutation);
+    check_mutation_detected::<Fleet>("beliefs", mutation);
 }
--- a/src/path/router_state.rs
+++ b/src/path/router_state.rs
@@ -157,7 +157,7 @@
     /// handled by rules that an operator has since withdrawn.
     pub(crate) fn configure(&self, deployment: Deployment) -> bool {
         let mut current = self.deployment.borrow_mut();
-        if deployment.version <= current.version && !mutated(Mutation::TakeOlderVersion) {
+        if deployment.version <= current.version && !mutated(Mutation::AcceptOlderVersion) {
             return false;
         }
         *current = Rc::new(deployment);
--- a/src/serve/route/resume.rs
+++ b/src/serve/route/resume.rs
@@ -14,7 +14,7 @@
 
 use crate::decide::refusal::RunState;
 use crate::event::Kind;
-use crate::front::body::next_wanted;
+use crate::front::body::recv_while_open;
 use crate::peers::{Frames, refuse};
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{End, Forward, Refusal};
@@ -202,7 +202,7 @@
     /// frozen home keeps its connections open, so the caller would otherwise wait until its
     /// deadline.
     async fn next(&self, frames: &mut Frames) -> Option<Body> {
-        let next = next_wanted(frames, &self.tx);
+        let next = recv_while_open(frames, &self.tx);
         let dead = self.ctx.host_dead(&self.home);
         pin_mut!(next, dead);
         match select(next, dead).await {
--- a/src/serve/route/tokens.rs
+++ b/src/serve/route/tokens.rs
@@ -67,7 +67,7 @@
         let mut claims = self.claims.borrow_mut();
         // After this time the key is too old to be used, even if the wall clock was adjusted.
         let retention_ms = RUN_KEY_TTL_MS + 4 * CLOCK_MARGIN_MS;
-        claims.forget(now_ms.saturating_sub(retention_ms));
+        claims.remove_older_than(now_ms.saturating_sub(retention_ms));
         claims.apply(claim_record(Body::Claim(claim.clone())), now_ms);
         let verdict = claims.verdict(claim);
         verdict.unwrap_or(Verdict::Lost(KeyStatus::Free))
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -39,7 +39,7 @@
     compio::time::sleep(Duration::from_millis(expiry_ms)).await;
     enter(ctx, Phase::Refusing);
     let limit = Duration::from_millis(fleet.drain_limit_ms.into());
-    let unfinished = ctx.drain.ended(limit).await;
+    let unfinished = ctx.drain.wait_until_idle(limit).await;
     let (done, notified) = oneshot::channel();
     ctx.gossip.send(GossipCommand::Finish(done));
     let _ = compio::time::timeout(GOODBYE_TIMEOUT, notified).await;
