--- a/examples/soak/verdict.rs
+++ b/examples/soak/verdict.rs
@@ -127,7 +127,7 @@
     for i in 0..routed.routers.len() {
         let mut last = 0;
         for line in routed.log(u8::try_from(i).unwrap_or_default()).lines() {
-            if line.contains("\"message\":\"started, ") {
+            if line.contains("\"message\":\"router started, ") {
                 last = 0;
             }
             let Some(at) = line.find(VERSION_PREFIX) else {
