--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -110,7 +110,10 @@
 /// gets fewer.
 #[test]
 fn slow_engine_gets_fewer_jobs() {
-    let setup = Setup { slowdown: 4.0, ..BASE };
+    let setup = Setup {
+        slowdown: 4.0,
+        ..BASE
+    };
     let (off, on) = (off(&setup), run(&setup));
     let p99 = |out: &Outcome| quantile(&out.waits_ms.concat(), 0.99) / 1e3;
     assert!(p99(&off) > 20.0, "off: {} s", p99(&off));
