--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -11,16 +11,16 @@
 pub mod loads;
 pub mod log_reads;
 pub mod member;
-#[cfg(test)]
-mod news_tests;
 pub mod suspects;
 pub mod swim;
 
-#[cfg(test)]
-mod flights_tests;
 #[cfg(test)]
 mod homes_tests;
 #[cfg(test)]
+mod in_flight_tests;
+#[cfg(test)]
 mod leaving_tests;
 #[cfg(test)]
 mod loads_tests;
+#[cfg(test)]
+mod log_reads_tests;
--- a/src/path/news_fleet_tests.rs
+++ b/src/path/log_replica_fleet_tests.rs
@@ -10,7 +10,7 @@
 use test_case::test_case;
 
 use super::cursor::Order;
-use super::news_tests::Router;
+use super::log_replica_tests::Router;
 use crate::schema::peer::LogSyncRequest;
 use crate::util::Clock;
 
--- a/src/path/news_fuzz_tests.rs
+++ b/src/path/log_replica_fuzz_tests.rs
@@ -10,8 +10,8 @@
 
 use crate::log::fuzz_tests::{check_mutation_detected, check_no_failure, count_step, pick};
 use crate::mutation::Mutation;
-use crate::path::news_fake_tests::UpstreamWrite;
-use crate::path::news_world_tests::{ROUTERS, SUSPENSION_MS, World, host};
+use crate::path::log_replica_fake_tests::UpstreamWrite;
+use crate::path::log_replica_world_tests::{ROUTERS, SUSPENSION_MS, World, host};
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/src/path/news_world_tests.rs
+++ b/src/path/log_replica_world_tests.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::path::cursor::{Order, Record, StreamCursor};
-use crate::path::news_fake_tests::{Answer, ENTRY_EXPIRY_MS, Entry, FakeStore};
-use crate::path::news_tests::Router;
+use crate::path::log_replica_fake_tests::{Answer, ENTRY_EXPIRY_MS, Entry, FakeStore};
+use crate::path::log_replica_tests::Router;
 use crate::schema::peer::{LogPosition, LogSyncReply, LogSyncRequest};
 use crate::util::{Clock, Name};
 
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -32,23 +32,23 @@
 pub(crate) mod suspend;
 pub mod upstreams;
 
-#[cfg(test)]
-mod beliefs_tests;
 #[cfg(test)]
 mod health_tests;
 #[cfg(test)]
-mod news_fake_tests;
+mod log_replica_fake_tests;
 #[cfg(test)]
-mod news_fleet_tests;
+mod log_replica_fleet_tests;
 #[cfg(test)]
-mod news_fuzz_tests;
+mod log_replica_fuzz_tests;
 #[cfg(test)]
-mod news_tests;
+mod log_replica_tests;
 #[cfg(test)]
-mod news_world_tests;
+mod log_replica_world_tests;
 #[cfg(test)]
 mod regions_tests;
 #[cfg(test)]
+mod router_state_tests;
+#[cfg(test)]
 mod suspects_tests;
 
 use std::rc::Rc;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -3,10 +3,10 @@
 
 mod client;
 pub(crate) mod compression;
+#[cfg(test)]
+mod compression_tests;
 pub(crate) mod frames;
 pub(crate) mod http2;
-#[cfg(test)]
-mod packed_tests;
 pub(crate) mod probes;
 pub(crate) mod refuse;
 pub(crate) mod server;
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use callers::Callers;
 pub(crate) use operator::Operators;
 pub(crate) use route::claim_link::grouping;
-pub(crate) use route::tokens::RunKeys;
+pub(crate) use route::run_keys::RunKeys;
 
 use crate::decide::refusal::Cause;
 use crate::event::Events;
--- a/src/serve/peers/mod.rs
+++ b/src/serve/peers/mod.rs
@@ -20,9 +20,9 @@
 };
 use crate::schema::peer::frame::Body;
 use crate::schema::peer::{ConfigReply, ConfigRequest, Forward, Frame};
+use crate::serve::route::at_most_once::AtMostOnce;
 use crate::serve::route::claim_link::{CLAIM, CLAIM_UPDATE, handle_claim, handle_update};
 use crate::serve::route::dispatch::Dispatch;
-use crate::serve::route::once::AtMostOnce;
 use crate::serve::{SharedCtx, stop};
 use crate::stats;
 
--- a/src/serve/route/once.rs
+++ b/src/serve/route/at_most_once.rs
@@ -24,8 +24,8 @@
     check_key_age, fingerprint, generate_key, invalid_key, is_non_idempotent, is_outcome_unknown,
     is_unreachable, outcome_unknown, run_state_unknown, uuid_ms,
 };
+use crate::serve::route::run_keys::{RUN_KEY_TTL_MS, RunKey};
 use crate::serve::route::stored_answer;
-use crate::serve::route::tokens::{RUN_KEY_TTL_MS, RunKey};
 use crate::util::wall_ms;
 
 const CHANNEL_CAPACITY: usize = 64;
--- a/src/serve/route/tokens_tests.rs
+++ b/src/serve/route/run_keys_tests.rs
@@ -1,4 +1,4 @@
-use crate::serve::route::tokens::RunKey;
+use crate::serve::route::run_keys::RunKey;
 
 /// Host names contain dots, so the key is split from its end.
 #[test]
--- a/src/stdout_writer.rs
+++ b/src/stdout_writer.rs
@@ -106,5 +106,5 @@
 }
 
 #[cfg(test)]
-#[path = "outlet_tests.rs"]
-mod outlet_tests;
+#[path = "stdout_writer_tests.rs"]
+mod stdout_writer_tests;
