--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -203,7 +203,7 @@
         let is_overdue = |id: &JobId| {
             wait_limits
                 .get(id)
-                .is_some_and(|p| now_ms > p.latest_ms(in_time))
+                .is_some_and(|limit| now_ms > limit.latest_ms(in_time))
         };
         if let Some(overdue) = self.queue.take_matching(|w| is_overdue(&w.job.id)) {
             let refusal = self.refusal(Cause::Full, overdue.work_ms, quota, rng);
--- a/src/decide/admission_tests.rs
+++ b/src/decide/admission_tests.rs
@@ -136,7 +136,8 @@
 }
 
 /// Ten times the capacity of the slots for ten seconds. First come, first served would make every
-/// answer late, by the wait of all before it. Nearly all answers that the slots produce are in time.
+/// answer late, by the wait of all before it. Nearly all answers that the slots produce are in
+/// time.
 #[test]
 fn goodput_stays_at_ten_times_the_load() {
     let mut callers = Callers::new(&[("a", Priority::Normal, 250)]);
@@ -236,8 +237,8 @@
     assert_eq!(admission.demand(), 0);
 }
 
-/// All waiting requests are withdrawn. Later ones meet a new queue, which is a burst, not one that has
-/// been standing since the first wait, so they may wait for as long as a burst's requests.
+/// All waiting requests are withdrawn. Later ones meet a new queue, which is a burst, not one that
+/// has been standing since the first wait, so they may wait for as long as a burst's requests.
 #[test]
 fn queue_that_emptied_without_starts_is_a_new_one() {
     let mut admission = Admission::default();
@@ -270,10 +271,10 @@
     request
 }
 
-/// Short requests arrive in a burst. Upstreams take three for each slot, so one that starts takes some
-/// 180 ms, a long one 240 ms, and it may wait here for the remaining 60 ms. Given half of its
-/// objective like a longer request, or the 600 ms of a burst, all would be late, each behind the one
-/// before.
+/// Short requests arrive in a burst. Upstreams take three for each slot, so one that starts takes
+/// some 180 ms, a long one 240 ms, and it may wait here for the remaining 60 ms. Given half of its
+/// objective like a longer request, or the 600 ms of a burst, all would be late, each behind the
+/// one before.
 #[test]
 fn short_request_waits_for_what_the_upstreams_queue_leaves() {
     let (mut admission, mut rng) = (Admission::default(), SmallRng::seed_from_u64(1));
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -61,7 +61,7 @@
 /// assert_eq!((full.allowed, full.has_spare), (45, false));
 /// ```
 pub fn quota(slots: f64, own: u32, others: &[u32]) -> Quota {
-    let demand = f64::from(own) + others.iter().map(|w| f64::from(*w)).sum::<f64>();
+    let demand = f64::from(own) + others.iter().map(|demand| f64::from(*demand)).sum::<f64>();
     let spare = slots - demand;
     let allowed = if spare > 0.0 {
         f64::from(own) + spare / (others.len() + 1) as f64
@@ -74,9 +74,9 @@
     }
 }
 
-/// Returns the max-min fair level for a router that wants more than it.
+/// Returns the max-min fair level: the share of each router whose demand exceeds it.
 fn fair_level(slots: f64, own: u32, others: &[u32]) -> f64 {
-    let mut demands: Vec<f64> = others.iter().map(|w| f64::from(*w)).collect();
+    let mut demands: Vec<f64> = others.iter().map(|demand| f64::from(*demand)).collect();
     demands.push(f64::from(own));
     demands.sort_by(f64::total_cmp);
     let mut remaining = slots;
--- a/src/decide/allowance_tests.rs
+++ b/src/decide/allowance_tests.rs
@@ -11,8 +11,8 @@
     assert!(quota.allowed > 70, "{quota:?}");
 }
 
-/// Ninety routers in front of a few upstreams with 12 slots, each with a burst: none is left without
-/// a slot, and together they don't run a multiple of the slots.
+/// Ninety routers in front of a few upstreams with 12 slots, each with a burst: none is left
+/// without a slot, and together they don't run a multiple of the slots.
 #[test]
 fn ninety_routers_share_few_slots() {
     let quota = quota(36.0, 8, &[8; 89]);
@@ -29,8 +29,8 @@
 }
 
 proptest! {
-    /// Whatever the demands, the routers together run no more than there are slots, plus one each by
-    /// rounding; and while the demand exceeds the slots, no slot stays empty.
+    /// Whatever the demands, the routers together run no more than there are slots, plus one each
+    /// by rounding; and while the demand exceeds the slots, no slot stays empty.
     #[test]
     fn quotas_add_up(slots in 1_u32..400, demands in proptest::collection::vec(1_u32..200, 1..90)) {
         let quota_of = |at: usize| {
--- a/src/decide/classes_tests.rs
+++ b/src/decide/classes_tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// One account has much urgent work, nine have a little of every class. The large account's urgent work
-/// waits behind the other accounts' urgent work, but not behind less urgent work.
+/// One account has much urgent work, nine have a little of every class. The large account's urgent
+/// work waits behind the other accounts' urgent work, but not behind less urgent work.
 #[test]
 fn urgent_work_of_a_large_account_goes_before_less_urgent_work_of_all() {
     let mut queue = ClassQueue::default();
@@ -35,7 +35,8 @@
     assert!((39..=41).contains(&urgent), "{urgent} of 50");
 }
 
-/// The least urgent work queues behind a long backlog of more urgent work. It still gets its twentieth.
+/// The least urgent work queues behind a long backlog of more urgent work. It still gets its
+/// twentieth.
 #[test]
 fn lowest_class_is_not_starved() {
     let mut queue = ClassQueue::default();
@@ -49,7 +50,8 @@
     assert!((9..=11).contains(&lowest), "{lowest} of 210");
 }
 
-/// The queue is full of less urgent work when an urgent job arrives: the least urgent job is evicted.
+/// The queue is full of less urgent work when an urgent job arrives: the least urgent job is
+/// evicted.
 #[test]
 fn least_urgent_work_is_evicted_first() {
     let mut queue = ClassQueue::default();
--- a/src/decide/cold_start_tests.rs
+++ b/src/decide/cold_start_tests.rs
@@ -39,9 +39,9 @@
     known.map(|(_, host)| host.clone()).collect()
 }
 
-/// Sends `per_s` requests a second for each of the cold upstreams, each through a random router, which
-/// sends it to a random upstream that it may. Returns the most requests of an upstream within a
-/// second, and the share of requests that were sent.
+/// Sends `per_s` requests a second for each of the cold upstreams, each through a random router,
+/// which sends it to a random upstream that it may. Returns the most requests of an upstream within
+/// a second, and the share of requests that were sent.
 fn simulate(routers: usize, views: Views, per_s: f64, seed: u64) -> (usize, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (hosts, service) = (hosts(routers), Name::from("s"));
@@ -84,9 +84,9 @@
     (most, served as f64 / f64::from(requests))
 }
 
-/// All upstreams of a data centre restart together, cold, at three times their usual traffic, and every
-/// router sees them idle. None may get more than it can handle in any second, or it crashes, restarts
-/// cold and gets the same load again.
+/// All upstreams of a data centre restart together, cold, at three times their usual traffic, and
+/// every router sees them idle. None may get more than it can handle in any second, or it crashes,
+/// restarts cold and gets the same load again.
 #[test_case(3, Views::Whole; "three routers")]
 #[test_case(71, Views::Whole; "71 routers")]
 #[test_case(300, Views::Whole; "300 routers")]
@@ -100,9 +100,9 @@
     }
 }
 
-/// All upstreams are cold, and the traffic is a third of their capacity: three routers serve most of it.
-/// A fleet of hundreds serves less, because some of its routers may send to few cold upstreams or to
-/// none; see the table in `docs/design`.
+/// All upstreams are cold, and the traffic is a third of their capacity: three routers serve most
+/// of it. A fleet of hundreds serves less, because some of its routers may send to few cold
+/// upstreams or to none; see the table in `docs/design`.
 #[test]
 fn cold_upstreams_serve() {
     for seed in 0..8 {
@@ -111,8 +111,8 @@
     }
 }
 
-/// A router was suspended while an upstream became cold, and resumes with several requests waiting. It
-/// sends one, as its pause allows.
+/// A router was suspended while an upstream became cold, and resumes with several requests waiting.
+/// It sends one, as its pause allows.
 #[test]
 fn router_that_resumes_sends_one_request() {
     let mut cold = ColdStarts::default();
@@ -127,8 +127,8 @@
     assert_eq!(waiting.count(), 1);
 }
 
-/// A service without a limit for cold starts, or an upstream that is no longer cold, gets work from all
-/// routers at once.
+/// A service without a limit for cold starts, or an upstream that is no longer cold, gets work from
+/// all routers at once.
 #[test]
 fn warm_upstreams_take_work() {
     let mut cold = ColdStarts::default();
@@ -141,8 +141,8 @@
     assert!(cold.admits("up", 3) && !cold.is_cold("up", 3));
 }
 
-/// Whatever the size of the fleet and its load, no upstream gets more than it can handle; prints the
-/// share that was served.
+/// Whatever the size of the fleet and its load, no upstream gets more than it can handle; prints
+/// the share that was served.
 #[test]
 fn load_on_cold_upstreams_at_several_fleet_sizes() {
     for routers in [3, 9, 71, 300] {
--- a/src/decide/concurrency_tests.rs
+++ b/src/decide/concurrency_tests.rs
@@ -13,7 +13,8 @@
 }
 
 /// A service loses most of its capacity. Calls must not accumulate until all time out: the limit
-/// follows the capacity, and admitted calls stay quick. When the service recovers, so does the limit.
+/// follows the capacity, and admitted calls stay quick. When the service recovers, so does the
+/// limit.
 #[test]
 fn limit_follows_the_capacity() {
     let mut limit = Concurrency::default();
@@ -32,7 +33,7 @@
 
 /// A service fails every call. The floor keeps a few calls going, so that its recovery is noticed.
 #[test]
-fn floor_holds() {
+fn limit_stays_at_its_floor() {
     let mut limit = Concurrency::default();
     for _ in 0..10_000 {
         limit.ended(20, false, limit.limit());
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -7,8 +7,8 @@
 //! unknown, so its caller gets no useful answer although the upstream is idle.
 //!
 //! So each router takes an equal share of the upstream's connections and keeps a part of it idle. A
-//! router that needs more sends elsewhere, or refuses the request, none of which was sent. A
-//! decision costs two multiplications.
+//! router that needs more sends to another upstream, or refuses the request before any byte of it
+//! is sent. A decision costs two multiplications.
 
 /// Share of an upstream's connections that the fleet uses: the rest covers connections that close
 /// slowly, routers that not all others know yet, and an upstream that accepts fewer while its queue
--- a/src/decide/connections_tests.rs
+++ b/src/decide/connections_tests.rs
@@ -11,8 +11,8 @@
 const IDLE_MS: u64 = 3_000;
 const RUNS_MS: u64 = 20;
 
-/// Returns how many connections an upstream resets within four seconds at `per_s` requests a second,
-/// each over a fresh connection, where a router keeps idle ones up to its `quota`.
+/// Returns how many connections an upstream resets within four seconds at `per_s` requests a
+/// second, each over a fresh connection, where a router keeps idle ones up to its `quota`.
 fn resets(per_s: u64, quota: ConnectionQuota) -> u32 {
     let mut idle_until: Vec<VecDeque<u64>> = vec![VecDeque::new(); ROUTERS];
     let mut running: VecDeque<(u64, usize)> = VecDeque::new();
@@ -39,8 +39,8 @@
 }
 
 /// Requests that may run only once arrive at five times their usual rate, some 50 a second at each
-/// upstream, which easily runs two at a time. With sixteen idle connections per router the upstream is
-/// full and resets requests; with its share each router leaves enough connections free.
+/// upstream, which easily runs two at a time. With sixteen idle connections per router the upstream
+/// is full and resets requests; with its share each router leaves enough connections free.
 #[test]
 fn burst_of_non_idempotent_requests_meets_no_resets() {
     let sixteen = ConnectionQuota {
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -7,8 +7,8 @@
 //! So an upstream is compared with its pool: it must fail several times in a row, or be slower than
 //! [`SLOW_FACTOR`] times the pool's median, and at most a share of the pool is ejected at once. One
 //! request probes it after an ejection time that doubles with each consecutive ejection, so that a
-//! flapping engine is left out for longer and longer. Recording costs one table access; an ejection
-//! costs a sort of the pool's times.
+//! flapping engine stays ejected for longer each time. Recording costs one table access; an
+//! ejection costs a sort of the pool's times.
 
 use std::collections::HashMap;
 
@@ -94,15 +94,15 @@
     /// Whether `upstream` is ejected, without claiming a probe.
     pub fn is_ejected(&self, upstream: &str, now_ms: u64) -> bool {
         let ejection = self.stats.get(upstream).and_then(|s| s.ejection);
-        ejection.is_some_and(|o| {
-            now_ms < o.until_ms || o.probed_ms.is_some_and(|at| now_ms < at + PROBE_MS)
+        ejection.is_some_and(|e| {
+            now_ms < e.until_ms || e.probed_ms.is_some_and(|at| now_ms < at + PROBE_MS)
         })
     }
 
     /// Whether a probe of `upstream` is in flight.
     pub fn is_probed(&self, upstream: &str) -> bool {
         let ejection = self.stats.get(upstream).and_then(|s| s.ejection);
-        ejection.is_some_and(|o| o.probed_ms.is_some())
+        ejection.is_some_and(|e| e.probed_ms.is_some())
     }
 
     /// Records that `upstream` answered with its first frame after `took_ms`.
--- a/src/decide/ejection_tests.rs
+++ b/src/decide/ejection_tests.rs
@@ -7,8 +7,8 @@
     (0..6).map(|i| Name::from(format!("engine-{i}"))).collect()
 }
 
-/// One engine answers ten times as slowly as its pool. It is ejected; otherwise its callers would wait
-/// for as long as it takes.
+/// One engine answers ten times as slowly as its pool. It is ejected; otherwise its callers would
+/// wait for as long as it takes.
 #[test]
 fn slow_upstream_is_ejected() {
     let (pool, mut ejector) = (pool(), Ejector::default());
@@ -25,8 +25,8 @@
     assert!(!ejector.admits("engine-2", 20));
 }
 
-/// The whole pool becomes ten times slower, for instance with a new model or a full network. Ejection
-/// would only move the load to the rest, so no upstream is ejected.
+/// The whole pool becomes ten times slower, for instance with a new model or a full network.
+/// Ejection would only move the load to the rest, so no upstream is ejected.
 #[test]
 fn pool_wide_slowdown_ejects_no_upstream() {
     let (pool, mut ejector) = (pool(), Ejector::default());
@@ -55,8 +55,8 @@
     assert_eq!(out, 2);
 }
 
-/// An engine flaps: it fails, answers one probe and fails again. The time to its next probe doubles, so
-/// that it affects fewer and fewer callers.
+/// An engine flaps: it fails, answers one probe and fails again. The time to its next probe
+/// doubles, so that it affects fewer and fewer callers.
 #[test]
 fn flapping_upstream_is_ejected_for_longer_each_time() {
     let (pool, mut ejector) = (pool(), Ejector::default());
@@ -84,8 +84,8 @@
     );
 }
 
-/// A healthy pool answers within a millisecond, and one engine takes 50 ms because KV caches are moved
-/// to it. No caller notices; ejecting it would only load the others.
+/// A healthy pool answers within a millisecond, and one engine takes 50 ms because KV caches are
+/// moved to it. No caller notices; ejecting it would only load the others.
 #[test]
 fn quick_upstream_is_not_slow() {
     let pool = pool();
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -3,11 +3,11 @@
 //! Load pattern: one account sends ten times its usual rate, or long jobs precede short ones. In a
 //! first-in-first-out queue all other requests then wait behind the surge.
 //!
-//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) on estimated work: each flow, an account in
-//! a class, has a virtual time that grows by work over weight as its jobs start, and the flow with
-//! the lowest virtual time goes next. Two backlogged flows differ by at most one job's work over
-//! weight each. Class weights differ by factors of four, so the lowest class still gets its share.
-//! Within a flow, a short job passes longer ones, each at most [`PASS_LIMIT`] times.
+//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) on estimated work: each flow, an account
+//! in a class, has a virtual time that grows by work over weight as its jobs start, and the flow
+//! with the lowest virtual time goes next. Two backlogged flows differ by at most one job's work
+//! over weight each. Class weights differ by factors of four, so the lowest class still gets its
+//! share. Within a flow, a short job passes longer ones, each at most [`PASS_LIMIT`] times.
 //!
 //! A decision costs a scan over the waiting flows, at most the queue's limit.
 
--- a/src/decide/fair_tests.rs
+++ b/src/decide/fair_tests.rs
@@ -38,8 +38,8 @@
     assert!((9..=11).contains(&batch), "{batch}");
 }
 
-/// An account's long job is queued first, and its short ones keep arriving behind it. They may pass the
-/// long one, but only a limited number of times.
+/// An account's long job is queued first, and its short ones keep arriving behind it. They may pass
+/// the long one, but only a limited number of times.
 #[test]
 fn long_job_is_passed_a_few_times_only() {
     let mut queue = FairQueue::default();
--- a/src/decide/grey.rs
+++ b/src/decide/grey.rs
@@ -1,14 +1,14 @@
-//! Detection of grey failures: upstreams that fail a larger share of their requests than their pool.
+//! Detection of grey failures: upstreams that fail a larger share of requests than their pool.
 //!
-//! Load pattern: some upstreams of a pool fail every third request or so and answer the others well,
-//! health checks included. Consecutive failures are rare, so counting them detects nothing, and
-//! until the upstream is fixed a third of its callers get a failure or wait for a retry.
+//! Load pattern: some upstreams of a pool fail every third request or so and answer the others
+//! well, health checks included. Consecutive failures are rare, so counting them detects nothing,
+//! and until the upstream is fixed a third of its callers get a failure or wait for a retry.
 //!
 //! So each upstream's calls of the last seconds are counted over all routers: one router of many
-//! calls an upstream once a second and would need ten seconds to detect it. An upstream is grey when
-//! it failed [`MIN_FAILED`] times and its failure share is at least [`MIN_SHARE`] and [`POOL_FACTOR`]
-//! times the pool's median: a service in which one in seven requests fails by its nature ejects
-//! nothing. A decision costs a sort of the pool's shares.
+//! calls an upstream once a second and would need ten seconds to detect it. An upstream is grey
+//! when it failed [`MIN_FAILED`] times and its failure share is at least [`MIN_SHARE`] and
+//! [`POOL_FACTOR`] times the pool's median: a service in which one in seven requests fails by its
+//! nature ejects nothing. A decision costs a sort of the pool's shares.
 
 /// Half-life of the counts. Long enough for some twenty calls of an upstream at a dozen a second;
 /// after the first ejection time a quarter is left, too little to eject again without new calls.
--- a/src/decide/grey_tests.rs
+++ b/src/decide/grey_tests.rs
@@ -53,8 +53,8 @@
     f64::from(failed) / requests as f64
 }
 
-/// Three of twelve upstreams fail two fifths of their requests, rarely many in a row. Without detection
-/// they fail one caller in ten; with it, less than a third as many.
+/// Three of twelve upstreams fail two fifths of their requests, rarely many in a row. Without
+/// detection they fail one caller in ten; with it, less than a third as many.
 #[test]
 fn grey_upstreams_are_ejected() {
     let without = failures(3, 0.4, false);
@@ -90,7 +90,7 @@
 
 /// After its ejection time an upstream is rated by its new calls.
 #[test]
-fn old_failures_fade() {
+fn old_failures_decay() {
     let mut counts = [Outcomes::default(); 4];
     counts[0].add(12, 5, 0);
     assert_eq!(grey(&counts), [0]);
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -307,7 +307,8 @@
     }
 
     /// Whether a suspect started here within [`SUSPECT_ISOLATION_MS`]: a request that crashes its
-    /// upstream does so during prefill, so one that has run for longer doesn't block other suspects.
+    /// upstream does so during prefill, so one that has run for longer doesn't block other
+    /// suspects.
     fn suspect_runs(&self, now_ms: u64) -> bool {
         let fresh = |r: &Running| r.suspect && now_ms < r.since_ms + SUSPECT_ISOLATION_MS;
         self.running.values().any(fresh)
--- a/src/decide/home_tests.rs
+++ b/src/decide/home_tests.rs
@@ -58,8 +58,8 @@
     assert_eq!(home.poll(100, rng), Some(Ready::Start(JobId(2))));
 }
 
-/// A job would have to wait here while another engine has free slots: it is redirected, and waits here
-/// only if no other engine took it.
+/// A job would have to wait here while another engine has free slots: it is redirected, and waits
+/// here only if no other engine took it.
 #[test]
 fn full_engine_redirects_while_others_have_free_slots() {
     let mut home = home(1, 8);
@@ -96,8 +96,8 @@
     assert!(refusal.retry_after_ms > 10_000, "{refusal:?}");
 }
 
-/// A job waits longer than predicted. It is refused as soon as it can't be answered in time any more, not
-/// only at its deadline.
+/// A job waits longer than predicted. It is refused as soon as it can't be answered in time any
+/// more, not only at its deadline.
 #[test]
 fn queued_job_is_refused_before_its_deadline() {
     let mut home = home(1, 8);
@@ -118,8 +118,8 @@
     assert!(refusal.retry_after_ms > 0);
 }
 
-/// The largest account has filled the queue when a small account's job arrives. The small one is queued,
-/// and the largest one's newest job is refused at once.
+/// The largest account has filled the queue when a small account's job arrives. The small one is
+/// queued, and the largest one's newest job is refused at once.
 #[test]
 fn full_queue_evicts_from_the_largest_account() {
     let mut home = home(1, 4);
@@ -141,8 +141,8 @@
     assert_eq!(refusal.cause, Cause::QueueFull);
 }
 
-/// A router takes over an engine that runs 30 jobs of its earlier home. It must not start another 32
-/// beside them; once the engine reports that they ended, it may.
+/// A router takes over an engine that runs 30 jobs of its earlier home. It must not start another
+/// 32 beside them; once the engine reports that they ended, it may.
 #[test]
 fn new_home_starts_slowly() {
     let mut home = home(32, 100);
@@ -163,9 +163,9 @@
     assert_eq!(offer, Offer::Start);
 }
 
-/// An engine's lagging report says that nothing runs after this home has started a job, with nothing
-/// inherited. Failure guarded against: the division of zero by zero counts all slots as taken for good,
-/// and callers wait until their deadlines.
+/// An engine's lagging report says that nothing runs after this home has started a job, with
+/// nothing inherited. Failure guarded against: the division of zero by zero counts all slots as
+/// taken for good, and callers wait until their deadlines.
 #[test]
 fn lagging_report_leaves_the_slots_free() {
     let mut home = home(2, 8);
@@ -175,8 +175,8 @@
     assert_eq!(home.offer(job(2), pool(0.0), 20, rng), Offer::Start);
 }
 
-/// Two suspects arrive at one engine. The second waits until the first has run for a while; a request
-/// that isn't a suspect waits for neither.
+/// Two suspects arrive at one engine. The second waits until the first has run for a while; a
+/// request that isn't a suspect waits for neither.
 #[test]
 fn suspects_start_apart() {
     let mut home = home(8, 8);
@@ -233,8 +233,8 @@
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
     /// For any sequence of steps: no job waits while a slot is free; a job that isn't a last choice
-    /// never raises the upstream above its bound; every refusal is marked as not run and has a retry
-    /// time unless the deadline had passed; and every job ends once.
+    /// never raises the upstream above its bound; every refusal is marked as not run and has a
+    /// retry time unless the deadline had passed; and every job ends once.
     #[test]
     fn admission_invariants_hold(
         steps in proptest::collection::vec(step(), 1..150),
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -7,10 +7,10 @@
 //! One router, found by hashing the account, collects each router's demand and grants shares. They
 //! are max-min fair: a router with a small demand gets it whole, and the rest is split among those
 //! that want more (Bertsekas and Gallager, "Data Networks", 6.5). A share is valid for
-//! [`SHARE_MS`]. A router that gets no new one decays to limit / routers by then, which is what a
-//! router without any share uses. When demand moves, a grant takes only what other grants leave,
-//! but never less than an even share, so the sum exceeds the limit for at most [`SHARE_MS`] and
-//! never exceeds twice the limit.
+//! [`SHARE_MS`]. Without a new grant it decays to limit / routers by then, which a router without
+//! any share uses. When demand moves, a grant takes only what other grants leave, but never less
+//! than an even share, so the sum exceeds the limit for at most [`SHARE_MS`] and never exceeds
+//! twice the limit.
 //!
 //! A request costs one table access; a grant sorts the routers' demands.
 
@@ -74,8 +74,8 @@
 }
 
 impl Limits {
-    /// Counts a request of `account`, whose fleet-wide limit is `limit`, if the router's share of the
-    /// rate allows it.
+    /// Counts a request of `account`, whose fleet-wide limit is `limit`, if the router's share of
+    /// the rate allows it.
     ///
     /// # Errors
     /// If the router's share of the rate is used up.
@@ -281,19 +281,19 @@
     }
 }
 
-/// Returns the max-min fair share of a router that wants `own` beside the demands `wants`. Unused
+/// Returns the max-min fair share of a router with demand `own` beside those in `demands`. Unused
 /// capacity is split evenly among all `routers`, so that each has some before it reports demand.
-pub fn fair_share(limit: f64, own: f64, mut wants: Vec<f64>, routers: usize) -> f64 {
-    wants.push(own);
-    wants.sort_by(f64::total_cmp);
+pub fn fair_share(limit: f64, own: f64, mut demands: Vec<f64>, routers: usize) -> f64 {
+    demands.push(own);
+    demands.sort_by(f64::total_cmp);
     let mut remaining = limit;
-    let count = wants.len();
-    for (i, want) in wants.iter().enumerate() {
+    let count = demands.len();
+    for (i, demand) in demands.iter().enumerate() {
         let even = remaining / (count - i) as f64;
-        if *want >= even {
+        if *demand >= even {
             return own.min(even);
         }
-        remaining -= want;
+        remaining -= demand;
     }
     own + remaining / routers.max(count) as f64
 }
--- a/src/decide/limits_tests.rs
+++ b/src/decide/limits_tests.rs
@@ -84,8 +84,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// Max-min fairness: every router gets at least the smaller of its demand and an even share, and
-    /// the sum doesn't exceed the limit.
+    /// Max-min fairness: every router gets at least the smaller of its demand and an even share,
+    /// and the sum doesn't exceed the limit.
     #[test]
     fn shares_are_max_min_fair(
         limit in 1.0_f64..1_000.0,
@@ -105,8 +105,8 @@
     }
 
     /// Routers report in any order while demand moves between them, and some reports are lost. The
-    /// sum of the shares in force is within the limit again [`SHARE_MS`] after the demand last moved,
-    /// and never exceeds twice the limit.
+    /// sum of the shares in force is within the limit again [`SHARE_MS`] after the demand last
+    /// moved, and never exceeds twice the limit.
     #[test]
     fn shares_sum_to_the_limit(
         phases in proptest::collection::vec(proptest::array::uniform4(0.0_f64..300.0), 1..6),
--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -1,7 +1,7 @@
 //! One router's view of the load of each upstream.
 //!
 //! Load pattern: reports are a second old and some get lost, while each of many routers places work
-//! by them. By the reports alone, all routers send to the engine that was idle a second ago. Two
+//! by them. With reports alone, all routers send to the engine that was idle a second ago. Two
 //! corrections cost nothing: every answer of a home carries its exact load at that moment, and the
 //! work that this router has placed since the last report is added.
 //!
@@ -78,7 +78,7 @@
 
     /// Returns the latest known load of `upstream`.
     pub fn get(&self, upstream: &str) -> Option<UpstreamLoad> {
-        self.loads.get(upstream).map(|b| b.load)
+        self.loads.get(upstream).map(|entry| entry.load)
     }
 
     /// Keeps only the upstreams for which `keep` is true.
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of chats on upstreams.
 //!
-//! Load pattern: millions of chats return after pauses, each best served where its prefix is cached,
-//! while engines come and go and a surge may hit a few of them. Without an order that all routers
-//! compute alike, each return would be placed at random and its prompt prefilled anew; without load
-//! balancing, hashing alone leaves the busiest engine at twice the mean.
+//! Load pattern: millions of chats return after pauses, each best served where its prefix is
+//! cached, while engines start and stop and a surge may hit a few of them. Without an order that
+//! all routers compute alike, each return would be placed at random and its prompt prefilled anew;
+//! without load balancing, hashing alone leaves the busiest engine at twice the mean.
 //!
 //! - A chat's order is the rendezvous (highest random weight) order of its pool: if one of n
 //!   engines leaves, only its own chats move.
@@ -66,7 +66,8 @@
 pub struct Plan {
     /// Each is tried once and may redirect the chat.
     pub tries: Vec<usize>,
-    /// Must queue or refuse the chat, unless a try was full but within its bound: then that one.
+    /// Queues or refuses the chat if no try starts it; a try that was full but within its bound
+    /// does so in its place.
     pub last: Option<usize>,
 }
 
--- a/src/decide/placement_tests.rs
+++ b/src/decide/placement_tests.rs
@@ -25,8 +25,8 @@
     );
 }
 
-/// An engine joins and looks idle to every router until its load has been gossiped. New chats must not
-/// all be sent there: the load used for it starts near the pool's mean.
+/// An engine joins and looks idle to every router until its load has been gossiped. New chats must
+/// not all be sent there: the load used for it starts near the pool's mean.
 #[test]
 fn joined_engine_is_filled_gradually() {
     let used = |age_ms| placement::joined_load_ms(0.0, 1_000.0, age_ms);
@@ -65,8 +65,8 @@
         prop_assert_eq!(placement::order(ChatKey(chat), &fewer), kept);
     }
 
-    /// The index yields the same first upstreams as the whole order, whatever the loads; a plan names
-    /// no upstream twice, and no excluded one.
+    /// The index yields the same first upstreams as the whole order, whatever the loads; a plan
+    /// names no upstream twice, and no excluded one.
     #[test]
     fn plan_names_each_upstream_once(
         chat: u64,
@@ -104,8 +104,8 @@
     }
 }
 
-/// In a half idle pool every engine has about the same load, and many chats find their first choices
-/// over the bound. Their last choices must not all be the engine whose name sorts first.
+/// In a half idle pool every engine has about the same load, and many chats find their first
+/// choices over the bound. Their last choices must not all be the engine whose name sorts first.
 #[test]
 fn last_choices_spread_over_equals() {
     let names: Vec<Name> = (0..18).map(|i| Name::from(format!("engine-{i}"))).collect();
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -4,10 +4,10 @@
 //! it again. Without a quarantine it takes down one engine after the other, with all the requests
 //! in flight beside it.
 //!
-//! When an engine dies, each request in flight there becomes a suspect. Suspects start one at a time
-//! at an engine, [`crate::decide::home::SUSPECT_ISOLATION_MS`] apart. If the engine dies again under a
-//! sole suspect, that one is quarantined. With several, none is: the harmless ones succeed and are
-//! cleared, so the harmful one soon is the sole one left. A harmless request is therefore
+//! When an engine dies, each request in flight there becomes a suspect. Suspects start one at a
+//! time at an engine, [`crate::decide::home::SUSPECT_ISOLATION_MS`] apart. If the engine dies again
+//! under a sole suspect, that one is quarantined. With several, none is: the harmless ones succeed
+//! and are cleared, so the harmful one soon is the sole one left. A harmless request is therefore
 //! quarantined only if engines die for other reasons each time it runs: twice, the second time with
 //! it as the sole suspect, or [`MANY_DEATHS`] times. At most [`MAX_ENTRIES`] are kept. A look-up
 //! costs one table access.
@@ -83,8 +83,8 @@
         QuarantineStatus::Free
     }
 
-    /// Records that its upstream died while it ran; `sole` if it was the only suspect there. Returns
-    /// its total of deaths.
+    /// Records that its upstream died while it ran; `sole` if it was the only suspect there.
+    /// Returns its total of deaths.
     ///
     /// ```
     /// use cassiagrade::decide::quarantine::{Quarantine, QuarantineStatus};
--- a/src/decide/quarantine_tests.rs
+++ b/src/decide/quarantine_tests.rs
@@ -3,8 +3,8 @@
 const HARMFUL: u64 = 1;
 
 /// A request crashes an engine with five harmless ones beside it, and all six are sent again, at
-/// different times. The harmful one crashes a second engine and is quarantined, so its next repetition
-/// is refused. The harmless ones are answered and cleared.
+/// different times. The harmful one crashes a second engine and is quarantined, so its next
+/// repetition is refused. The harmless ones are answered and cleared.
 #[test]
 fn harmful_request_is_quarantined_and_harmless_ones_cleared() {
     let mut quarantine = Quarantine::default();
@@ -29,8 +29,8 @@
     );
 }
 
-/// Two suspects run at one engine when it dies. Neither is quarantined, because it isn't known which
-/// of them crashed the engine.
+/// Two suspects run at one engine when it dies. Neither is quarantined, because it isn't known
+/// which of them crashed the engine.
 #[test]
 fn two_suspects_beside_each_other_are_not_quarantined() {
     let mut quarantine = Quarantine::default();
--- a/src/decide/retry_tests.rs
+++ b/src/decide/retry_tests.rs
@@ -3,9 +3,9 @@
 
 use crate::decide::retry::{FailedAttempt, RetryBudget};
 
-/// A pool fails three attempts in four for a while, and each request is tried up to five times. Without
-/// a budget the pool gets several times its load (a retry storm); with one, little more than its
-/// load, and further retries are refused.
+/// A pool fails three attempts in four for a while, and each request is tried up to five times.
+/// Without a budget the pool gets several times its load (a retry storm); with one, little more
+/// than its load, and further retries are refused.
 #[test]
 fn retry_storm_is_bounded_by_the_budget() {
     let tries = |mut budget: Option<RetryBudget>| {
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -14,7 +14,7 @@
 
 use crate::decide::Priority;
 
-/// Evaluation interval. Longer than the turnover of a slot in both sites' pools.
+/// Evaluation interval. Longer than the slot turnover time of typical pools.
 pub const INTERVAL_MS: u64 = 500;
 /// Shortest wait in an interval from which the queue counts as standing rather than a burst.
 pub const TARGET_WAIT_MS: u64 = 1_000;
--- a/src/decide/short_requests_tests.rs
+++ b/src/decide/short_requests_tests.rs
@@ -1,9 +1,9 @@
 //! Value of exact counts for a small pool of short requests behind many routers.
 //!
-//! Requests that end before the routers have exchanged their counts can't be counted by all. A router
-//! that uses its own counts is compared with one that knows what every upstream runs at that moment.
-//! The latter would take a permit from a home for each request, at the cost of a round trip and of a
-//! host that can fail.
+//! Requests that end before the routers have exchanged their counts can't be counted by all. A
+//! router that uses its own counts is compared with one that knows what every upstream runs at that
+//! moment. The latter would take a permit from a home for each request, at the cost of a round trip
+//! and of a host that can fail.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -139,9 +139,9 @@
     missed / (missed + f64::from(pool.in_time))
 }
 
-/// Requests of 60 ms arrive at four upstreams through fleets of several sizes, at up to nine tenths of the
-/// capacity. By its own counts a router sends almost at random, yet no more requests are late than with
-/// exact counts: the pool's queues are short compared with the objective.
+/// Requests of 60 ms arrive at four upstreams through fleets of several sizes, at up to nine tenths
+/// of the capacity. By its own counts a router sends almost at random, yet no more requests are
+/// late than with exact counts: the pool's queues are short compared with the objective.
 #[test_case(9)]
 #[test_case(71)]
 #[test_case(390)]
@@ -163,7 +163,7 @@
 
 /// At and above the capacity exact counts gain little, because admission then decides.
 #[test]
-fn overload_isnt_a_matter_of_counts() {
+fn exact_counts_gain_little_under_overload() {
     for load in [0.95, 1.0, 1.1, 1.3, 1.5] {
         let (own, exact) = (
             missed(ChooseBy::Own, 71, load, 1),
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -13,9 +13,9 @@
 //! costs one multiply-mix per upstream.
 //!
 //! Load pattern: many routers, and requests that end sooner than the routers exchange their counts.
-//! All choose the upstream that had the fewest, and one in ten requests is refused there while other
-//! upstreams idle. So counts older than the duration of most requests are ignored: a router then
-//! uses its own counts, and random choice spreads the rest evenly.
+//! All choose the upstream that had the fewest, and one in ten requests is refused there while
+//! other upstreams idle. So counts older than the duration of most requests are ignored: a router
+//! then uses its own counts, and random choice spreads the rest evenly.
 
 use rand::Rng;
 
@@ -121,8 +121,8 @@
     fn limit(self, pool: &[Candidate]) -> f64 {
         match self {
             Self::ByMean => {
-                let of_available = mean(pool, |s| !s.excluded) * BOUND_FACTOR;
-                let of_all = mean(pool, |s| !s.excluded || s.withheld) * WITHHELD_FACTOR;
+                let of_available = mean(pool, |c| !c.excluded) * BOUND_FACTOR;
+                let of_all = mean(pool, |c| !c.excluded || c.withheld) * WITHHELD_FACTOR;
                 of_available.min(of_all) + BOUND_SLACK
             }
             Self::BySlots => f64::INFINITY,
@@ -136,16 +136,16 @@
     }
 }
 
-/// Returns the mean load of the candidates that match `counts`.
-fn mean(pool: &[Candidate], counts: impl Fn(&Candidate) -> bool) -> f64 {
-    let counted = pool.iter().filter(|s| counts(s));
-    let (count, sum) = counted.fold((0_u32, 0_u32), |(n, sum), s| (n + 1, sum + s.running));
+/// Returns the mean load of the candidates for which `is_counted` is true.
+fn mean(pool: &[Candidate], is_counted: impl Fn(&Candidate) -> bool) -> f64 {
+    let counted = pool.iter().filter(|c| is_counted(c));
+    let (count, sum) = counted.fold((0_u32, 0_u32), |(n, sum), c| (n + 1, sum + c.running));
     f64::from(sum) / f64::from(count.max(1))
 }
 
 /// Selects a candidate for a request whose last shared part is `part`, and as the source of that
-/// part the first candidate of its order. Fetching a part takes a fraction of the time of prefilling
-/// it, also of the upstream's time.
+/// part the first candidate of its order. Fetching a part takes a fraction of the time of
+/// prefilling it, also of the upstream's time.
 ///
 /// ```
 /// use cassiagrade::decide::spread::{Bound, Candidate, by_part};
@@ -158,18 +158,20 @@
 /// ```
 pub fn by_part(part: u64, pool: &[Candidate], bound: Bound) -> Option<Selection> {
     let bound = bound.limit(pool);
-    let is_available = |s: &Candidate| !s.excluded && !s.is_full() && f64::from(s.running) < bound;
-    let available = pool.iter().enumerate().filter(|(_, s)| is_available(s));
-    let best = available.max_by_key(|(_, s)| util::mix(part, s.id_hash));
-    let at = best.map(|(at, _)| at).or_else(|| least(pool))?;
-    let holders = pool.iter().enumerate().filter(|(_, s)| s.has_parts);
-    let holder = holders.max_by_key(|(_, s)| util::mix(part, s.id_hash));
-    let source = holder.map(|(at, _)| at).filter(|source| *source != at);
+    let is_available = |c: &Candidate| !c.excluded && !c.is_full() && f64::from(c.running) < bound;
+    let available = pool.iter().enumerate().filter(|(_, c)| is_available(c));
+    let best = available.max_by_key(|(_, c)| util::mix(part, c.id_hash));
+    let at = best.map(|(at, _)| at).or_else(|| least_loaded(pool))?;
+    let sources = pool.iter().enumerate().filter(|(_, c)| c.has_parts);
+    let first_source = sources.max_by_key(|(_, c)| util::mix(part, c.id_hash));
+    let source = first_source
+        .map(|(at, _)| at)
+        .filter(|source| *source != at);
     Some(Selection { at, source })
 }
 
-/// Selects the candidate with the fewest requests, of equals one in the same data centre, of those a
-/// random one. With stale counts, selects a random one of those with the fewest requests of this
+/// Selects the candidate with the fewest requests, of equals one in the same data centre, of those
+/// a random one. With stale counts, selects a random one of those with the fewest requests of this
 /// router; all routers of a data centre would send their burst to the same near one.
 ///
 /// ```
@@ -182,15 +184,15 @@
 /// assert_eq!(by_load(&pool, Counts::Stale, &mut rng), Some(0));
 /// ```
 pub fn by_load<R: Rng>(pool: &[Candidate], counts: Counts, rng: &mut R) -> Option<usize> {
-    let available = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
-    let key = |s: &Candidate, rng: &mut R| match counts {
-        Counts::Current => (s.running, !s.is_local, rng.random::<u32>()),
-        Counts::Stale => (s.own, false, rng.random()),
+    let available = pool.iter().enumerate().filter(|(_, c)| !c.excluded);
+    let key = |c: &Candidate, rng: &mut R| match counts {
+        Counts::Current => (c.running, !c.is_local, rng.random::<u32>()),
+        Counts::Stale => (c.own, false, rng.random()),
     };
-    available.min_by_key(|(_, s)| key(s, rng)).map(|(at, _)| at)
+    available.min_by_key(|(_, c)| key(c, rng)).map(|(at, _)| at)
 }
 
-fn least(pool: &[Candidate]) -> Option<usize> {
-    let available = pool.iter().enumerate().filter(|(_, s)| !s.excluded);
-    available.min_by_key(|(_, s)| s.running).map(|(at, _)| at)
+fn least_loaded(pool: &[Candidate]) -> Option<usize> {
+    let available = pool.iter().enumerate().filter(|(_, c)| !c.excluded);
+    available.min_by_key(|(_, c)| c.running).map(|(at, _)| at)
 }
--- a/src/decide/spread_tests.rs
+++ b/src/decide/spread_tests.rs
@@ -13,8 +13,8 @@
     (0..size).map(candidate).collect()
 }
 
-/// Every fourth request has the same shared part. Sent by its part alone, a quarter of all requests would
-/// go to that part's upstream and wait there while the others idle.
+/// Every fourth request has the same shared part. Sent by its part alone, a quarter of all requests
+/// would go to that part's upstream and wait there while the others idle.
 #[test]
 fn frequent_part_stays_below_the_bound() {
     let mut pool = pool(12, 64);
@@ -33,8 +33,8 @@
     assert!(f64::from(most) <= bound + 1.0, "{most} at one upstream");
 }
 
-/// The same part is requested repeatedly while the pool is quiet: it must be prefilled at one upstream
-/// only.
+/// The same part is requested repeatedly while the pool is quiet: it must be prefilled at one
+/// upstream only.
 #[test]
 fn quiet_part_stays_at_one_upstream() {
     let pool = pool(12, 64);
@@ -44,9 +44,10 @@
     assert_eq!(upstreams.len(), 1);
 }
 
-/// One upstream is replaced: only its own parts may move, or the whole pool prefills its parts again.
+/// One upstream is replaced: only its own parts may move, or the whole pool prefills its parts
+/// again.
 #[test]
-fn other_parts_stay_when_one_upstream_goes() {
+fn other_parts_stay_when_one_upstream_is_replaced() {
     let whole = pool(12, 64);
     let mut fewer = whole.clone();
     fewer[3].excluded = true;
@@ -62,8 +63,8 @@
     }
 }
 
-/// All upstreams are full or failing. A failing one must not be chosen, because the request would be
-/// lost.
+/// All upstreams are full or failing. A failing one must not be chosen, because the request would
+/// be lost.
 #[test]
 fn excluded_upstreams_get_nothing() {
     let mut pool = pool(3, 2);
@@ -78,8 +79,8 @@
     assert_eq!(by_load(&pool, Counts::Current, &mut rng), None);
 }
 
-/// An upstream joins with an empty cache and becomes the first of some parts' orders. Prefilling these
-/// parts again would delay all their callers; the earlier upstream still has them.
+/// An upstream joins with an empty cache and becomes the first of some parts' orders. Prefilling
+/// these parts again would delay all their callers; the earlier upstream still has them.
 #[test]
 fn new_upstream_fetches_from_the_earlier_one() {
     let mut pool = pool(12, 64);
@@ -94,10 +95,10 @@
     assert_eq!(by_part(part, &pool, Bound::ByMean).unwrap().at, second);
 }
 
-/// 333 short requests a second arrive at 195 routers in front of five upstreams that run six at once and
-/// let four wait. The routers exchange counts five times a second, and a request takes 60 ms. All go to
-/// the upstream with the lowest count, and requests are refused although the pool is at two thirds of
-/// its capacity.
+/// 333 short requests a second arrive at 195 routers in front of five upstreams that run six at
+/// once and let four wait. The routers exchange counts five times a second, and a request takes 60
+/// ms. All go to the upstream with the lowest count, and requests are refused although the pool is
+/// at two thirds of its capacity.
 #[test]
 fn stale_counts_are_useless_for_short_requests() {
     let by_old_counts = refused_share(Counts::Current);
@@ -152,9 +153,9 @@
     f64::from(refused) / f64::from(REQUESTS)
 }
 
-/// One of three data centres is evacuated: its upstreams run empty, and the others have half more than
-/// the mean of all. A frequent part must not raise one of them to over twice that mean, where callers
-/// notice the pauses, although the mean of the open upstreams would allow it.
+/// One of three data centres is evacuated: its upstreams run empty, and the others have half more
+/// than the mean of all. A frequent part must not raise one of them to over twice that mean, where
+/// callers notice the pauses, although the mean of the open upstreams would allow it.
 #[test]
 fn frequent_part_stays_below_the_bound_beside_an_evacuation() {
     let candidate = |i: u64| Candidate {
--- a/src/decide/take_over.rs
+++ b/src/decide/take_over.rs
@@ -1,9 +1,9 @@
 //! A new home's estimate of the work that the upstream's earlier home started.
 //!
-//! Load pattern: routers come and go, and their upstreams change homes with jobs in flight. Without
-//! the estimate, a new home takes a busy upstream for an idle one and doubles its load. So it counts
-//! the last reported work as its own and lets it decay linearly; the upstream's own reports, which
-//! lag, only ever lower it. Costs a multiplication per decision.
+//! Load pattern: routers start and stop, and their upstreams change homes with jobs in flight.
+//! Without the estimate, a new home takes a busy upstream for an idle one and doubles its load. So
+//! it counts the last reported work as its own and lets it decay linearly; the upstream's own
+//! reports, which lag, only ever lower it. Costs a multiplication per decision.
 
 /// Time in which inherited work decays: twice the duration of a mean job.
 pub const TAKE_OVER_MS: u64 = 10_000;
@@ -38,8 +38,8 @@
     /// Lowers the estimate to the upstream's report that it runs `jobs` not started by this home.
     ///
     /// Failure guarded against: with nothing inherited, a report that lags behind this home's own
-    /// first job would divide zero by zero. The home would then count NaN jobs and never have a free
-    /// slot again.
+    /// first job would divide zero by zero. The home would then count NaN jobs and never have a
+    /// free slot again.
     pub(crate) fn lower_to(&mut self, jobs: f64, now_ms: u64) {
         let expected = self.jobs(now_ms);
         if expected > 0.0 && jobs < expected {
--- a/src/fleet/leaving.rs
+++ b/src/fleet/leaving.rs
@@ -15,7 +15,8 @@
 
 /// An update that no router has repeated for this long expires.
 pub const LEAVING_TTL_MS: u64 = 10_000;
-/// Added to an age at each hop, as for loads, so that no update looks younger for being passed on.
+/// Added to an age at each hop, as for loads, so that a forwarded update doesn't appear newer than
+/// it is.
 const HOP_MS: u64 = 5;
 
 /// Upstreams that are leaving, by source.
--- a/src/fleet/loads.rs
+++ b/src/fleet/loads.rs
@@ -1,9 +1,9 @@
 //! Loads of upstreams, spread by gossip: a table without sockets or a clock of its own.
 //!
 //! Each router sends the loads of the upstreams it is home to in every datagram, and fills the rest
-//! of the datagram with a sample of those it received. In a small fleet every router so knows every
-//! upstream's load within a second. In a large one each router has a random sample, large enough
-//! for the pool's mean, and the bytes that a router sends don't grow with the fleet.
+//! of the datagram with a sample of those it received. In a small fleet every router thus knows
+//! every upstream's load within a second. In a large one each router has a random sample, large
+//! enough for the pool's mean, and the bytes that a router sends don't grow with the fleet.
 
 use std::collections::HashMap;
 
@@ -17,8 +17,8 @@
 /// the upstream's home.
 pub const LOAD_TTL_MS: u64 = 5_000;
 
-/// Added to an age at each hop, more than most datagrams take, so that no load looks younger than
-/// it is for being passed on.
+/// Added to an age at each hop. Most datagrams take less, so a forwarded load doesn't appear newer
+/// than it is.
 const HOP_MS: u64 = 5;
 
 #[derive(Clone, Copy, Debug)]
--- a/src/fleet/log_reads.rs
+++ b/src/fleet/log_reads.rs
@@ -7,8 +7,8 @@
 //!
 //! A few routers read, chosen alike from every router's view, and publish the version and age of
 //! their state to the others. A router whose state has become stale reads for itself, at a
-//! randomised time, so that the first few such reads spare the rest. The staleness limit follows
-//! from how soon a change must be in force.
+//! randomised time, so that the first few such reads make the rest unnecessary. The staleness limit
+//! follows from how soon a change must be in force.
 //!
 //! While the log is unavailable, all routers become stale; if each retried at the rate of a single
 //! router, the calls would grow with the fleet. So the routers that can reach one another share a
@@ -48,7 +48,7 @@
 /// Longest backoff of a reader that receives no updates from others. Once the log is back, all
 /// routers know within this time and a few publishing rounds.
 const MAX_READER_RETRY_MS: u64 = 600;
-/// Longest backoff of other routers, unless sharing the retries asks for more. Well below the
+/// Longest backoff of other routers, unless sharing the retries requires more. Well below the
 /// seconds after a disturbance within which hosts must have recovered.
 const MAX_RETRY_MS: u64 = 2_400;
 
@@ -185,7 +185,7 @@
     /// use rand::{SeedableRng, rngs::SmallRng};
     /// let mut backoff = Backoff::default();
     /// backoff.failed(1_000, &mut SmallRng::seed_from_u64(1));
-    /// // A reader, or a router by itself, retries soon; one of many leaves it to the others.
+    /// // A reader, or a router by itself, retries soon; one of many waits for the others.
     /// assert!(backoff.is_due(1_500, true, 195) && backoff.is_due(1_500, false, 1));
     /// assert!(!backoff.is_due(4_000, false, 195));
     /// ```
@@ -216,8 +216,9 @@
 /// Returns how long a read that must begin now waits for a change, or `None` if none is due.
 ///
 /// Readers always read, and wait for a change. The other routers read only when their state is
-/// stale, each at its own time, and without a wait: they stand in for the readers and publish what
-/// they find. A reader whose reads fail backs off longer while other readers keep its state fresh.
+/// stale, each at its own time, and without a wait: they replace readers that fail, and publish
+/// what they find. A reader whose reads fail backs off longer while other readers keep its state
+/// fresh.
 ///
 /// ```
 /// use cassiagrade::fleet::log_reads::{Backoff, Freshness, ReadSchedule, Role, read_due};
--- a/src/fleet/swim/mod.rs
+++ b/src/fleet/swim/mod.rs
@@ -85,7 +85,7 @@
 pub struct Listed {
     /// The host; its incarnation is zero, as the list doesn't have it.
     pub member: Member,
-    /// Whether the platform is taking the host away.
+    /// Whether the platform is removing the host.
     pub leaving: bool,
 }
 
@@ -162,7 +162,7 @@
 
     /// Whether this process was paused and it is unknown whether others have declared it dead.
     ///
-    /// Failure guarded against: a router that is paused for seconds, as its host is, resumes and
+    /// Failure guarded against: a router resumes after its host was paused for seconds, and
     /// admits work to upstreams that have another home by now. It stays in doubt until another
     /// router answers a probe sent after the pause; the answer carries its state if it was declared
     /// dead.
@@ -255,7 +255,7 @@
 
     /// Returns at most `max` members to send to `to`: first the state of `to` if it must be refuted
     /// or accepted, then the least sent and newest changes. If there are none, one random member,
-    /// so that lost datagrams are made up for.
+    /// which compensates for lost datagrams.
     pub fn updates_for<R: Rng>(
         &mut self,
         to: Option<&Name>,
--- a/src/path/admission_queue.rs
+++ b/src/path/admission_queue.rs
@@ -32,8 +32,10 @@
 struct ServiceQueue {
     admission: Admission,
     waiting: HashMap<JobId, oneshot::Sender<Verdict>>,
-    /// As of the last refresh; `None` if the upstreams do not report their slots.
+    /// Requests that all routers together may have at the upstreams of the service, as of the last
+    /// refresh; `None` if the upstreams do not report their slots.
     slots_open: Option<f64>,
+    /// Demands of the other routers, as of the last refresh.
     others: Vec<u32>,
 }
 
@@ -121,7 +123,7 @@
         for (service, queue) in self.queues.borrow_mut().iter_mut() {
             let slots_open = state.slots_open(service, now_ms);
             queue.slots_open =
-                slots_open.map(|p| f64::from(p) * queue.admission.requests_per_slot());
+                slots_open.map(|slots| f64::from(slots) * queue.admission.requests_per_slot());
             queue.others = state.demands_of_others(service);
             queue.poll(now_ms);
             let wanted = queue.admission.demand();
@@ -139,7 +141,7 @@
     /// Usual duration of a request to `service`, once some were observed.
     pub(crate) fn typical_ms(&self, service: &str) -> Option<f64> {
         let queues = self.queues.borrow();
-        queues.get(service).and_then(|g| g.admission.typical_ms())
+        queues.get(service).and_then(|q| q.admission.typical_ms())
     }
 
     /// Describes the state that a refusal by the queue of `service` was based on.
--- a/src/path/attempts.rs
+++ b/src/path/attempts.rs
@@ -301,7 +301,7 @@
         let (pool, candidates) =
             state.pool(&context.service, &tried, &allowed_regions, max_open, now_ms);
         let decisions = state.decisions();
-        let placed = match shared_part(&context.head.prompt_parts) {
+        let selection = match shared_part(&context.head.prompt_parts) {
             Some(part) if context.route.cached_prompts && decisions.part_order => {
                 spread::by_part(part, &candidates, bound(decisions))?
             }
@@ -315,8 +315,8 @@
             }
         };
         Some(Choice {
-            upstream: pool[placed.at].clone(),
-            fetch_from: placed
+            upstream: pool[selection.at].clone(),
+            fetch_from: selection
                 .source
                 .filter(|_| decisions.fetch)
                 .map(|at| pool[at].addr),
--- a/src/path/cursor.rs
+++ b/src/path/cursor.rs
@@ -46,7 +46,7 @@
     /// not be read again.
     ///
     /// Failure guarded against: records expire before they are read. A reader that keeps requesting
-    /// them gets the same rejection forever, at the speed of the network.
+    /// them gets the same rejection forever, as fast as the network allows.
     pub(crate) fn next_read(&self, known_end: u64) -> ReadRange {
         let known = self.next.map(|next| next.max(known_end));
         let known = known.or((known_end > 0).then_some(known_end));
--- a/src/path/health.rs
+++ b/src/path/health.rs
@@ -74,8 +74,8 @@
     /// Whether other upstreams can fetch cached prompt parts from `upstream`. An upstream ejected
     /// for its failure share still serves these, which saves the pool from processing them again.
     pub(crate) fn is_cache_source(&self, upstream: &Upstream, now_ms: u64) -> bool {
-        let is_gone = self.is_ejected(upstream, now_ms) && !self.grey.contains(&upstream.id);
-        !is_gone && !self.is_unreachable(upstream, now_ms) && !self.is_replaced(upstream)
+        let is_failing = self.is_ejected(upstream, now_ms) && !self.grey.contains(&upstream.id);
+        !is_failing && !self.is_unreachable(upstream, now_ms) && !self.is_replaced(upstream)
     }
 
     /// Records that another incarnation has the address of upstream `id`, and returns whether that
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -198,7 +198,8 @@
         self.upstreams_fresh.get()
     }
 
-    /// Makes this router read the log at once, as a peer has newer upstreams that it cannot send.
+    /// Makes this router read the log at once, because a peer has newer upstreams that it doesn't
+    /// send.
     fn request_read(&self) {
         self.upstreams_fresh
             .set(self.upstreams_fresh.get().invalidated());
@@ -397,7 +398,7 @@
         let known = self.state.upstream_count();
         let missing = self.missing.borrow().len();
         let offset = self.upstreams_at.get();
-        log::info!(upstreams = known, missing, offset, source; "all upstreams taken");
+        log::info!(upstreams = known, missing, offset, source; "all upstreams replaced");
         self.notify_loaded();
     }
 
--- a/src/path/log_replica/sync.rs
+++ b/src/path/log_replica/sync.rs
@@ -90,8 +90,8 @@
     /// Returns the answer for a requester that must read the upstreams from the log. It reports no
     /// newer upstreams.
     ///
-    /// Failure guarded against: hundreds of routers start at once while upstreams come and go. Each
-    /// keeps only the changes since its own read, so those that read earlier would be sent all
+    /// Failure guarded against: hundreds of routers start at once while upstreams start and stop.
+    /// Each keeps only the changes since its own read, so those that read earlier would be sent all
     /// upstreams again and again by those that read later, over links that callers need. The log
     /// sends them the few changes that they lack.
     fn reply_config_only(&self, request: &LogSyncRequest, has_newer: bool) -> LogSyncReply {
--- a/src/path/refusal.rs
+++ b/src/path/refusal.rs
@@ -50,7 +50,7 @@
         )
     }
 
-    fn words<'a>(&'a self, request_id: Option<&'a str>) -> ErrorBody<'a> {
+    fn error_body<'a>(&'a self, request_id: Option<&'a str>) -> ErrorBody<'a> {
         ErrorBody {
             cause: self.cause.into(),
             run_state: self.run.into(),
@@ -64,12 +64,14 @@
     pub(crate) fn raw<D: Dialect>(&self) -> Vec<u8> {
         let retry_after = D::retry_after(self.retry_after_ms);
         let retry_after = retry_after.to_str().unwrap_or("1");
-        self.words(None).raw(self.status(), retry_after)
+        self.error_body(None).raw(self.status(), retry_after)
     }
 
     pub(crate) fn response<D: Dialect>(&self, request_id: Option<&str>) -> Response<Answer> {
         let retry_after = D::retry_after(self.retry_after_ms);
-        let mut response = self.words(request_id).response(self.status(), retry_after);
+        let mut response = self
+            .error_body(request_id)
+            .response(self.status(), retry_after);
         let headers = response.headers_mut();
         if self.ends_connection() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/src/path/regions.rs
+++ b/src/path/regions.rs
@@ -48,19 +48,19 @@
         allowed_regions: &[&AllowedRegions],
         data_center: &str,
     ) -> bool {
-        let routers = self.of(data_center).map(|r| &**r);
-        let is_own = routers.is_some() && routers == region;
+        let router_region = self.of(data_center).map(|r| &**r);
+        let is_own = router_region.is_some() && router_region == region;
         is_own || self.allow(allowed_regions, data_center)
     }
 
-    /// Whether all of `allowed_regions` allow `data_center`. If its region is unknown, only those
-    /// that allow all regions do.
+    /// Whether all of `allowed_regions` allow `data_center`. A data centre of unknown region is
+    /// allowed only if all of them are `None`.
     pub fn allow(&self, allowed_regions: &[&AllowedRegions], data_center: &str) -> bool {
         let region = self.of(data_center);
         let allows = |allowed_regions: &[Name]| region.is_some_and(|r| allowed_regions.contains(r));
         allowed_regions
             .iter()
-            .filter_map(|h| h.as_deref())
+            .filter_map(|regions| regions.as_deref())
             .all(allows)
     }
 }
--- a/src/path/routes.rs
+++ b/src/path/routes.rs
@@ -222,11 +222,10 @@
     ///     public: true,
     ///     cached_prompts: false,
     ///     allowed_regions: None,
-    /// };
-    /// let routes = vec![("a.example".into(), route("all", "/")), ("a.example".into(), route("one", "/x/"))];
-    /// let deployment = Deployment::from(Draft { version: 1, routes, ..Draft::default() });
-    /// assert_eq!(&*deployment.route("A.example:80", "/x/1").unwrap().name, "one");
-    /// assert_eq!(&*deployment.route("a.example", "/y").unwrap().name, "all");
+    /// }; let routes = vec![("a.example".into(), route("all", "/")), ("a.example".into(),
+    /// route("one", "/x/"))]; let deployment = Deployment::from(Draft { version: 1, routes,
+    /// ..Draft::default() }); assert_eq!(&*deployment.route("A.example:80", "/x/1").unwrap().name,
+    /// "one"); assert_eq!(&*deployment.route("a.example", "/y").unwrap().name, "all");
     /// assert!(deployment.route("b.example", "/x/1").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
@@ -244,7 +243,9 @@
     pub fn allowed_regions(&self, host: &str) -> Vec<&AllowedRegions> {
         let routes = self.routes.get(host).into_iter().flatten();
         let allowed_regions = routes.map(|r| &r.allowed_regions);
-        allowed_regions.filter(|h| h.is_some()).collect()
+        allowed_regions
+            .filter(|regions| regions.is_some())
+            .collect()
     }
 
     /// Connections that each upstream of `service` accepts from all routers together, if
