--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -14,7 +14,7 @@
 
 /// Message of the refusal for connections over the limit.
 pub(crate) const CONNECTION_LIMIT_MESSAGE: &str =
-    "this router holds as many connections as it may: use another address";
+    "this router is at its connection limit: use another address";
 /// Share of the process's file descriptors for callers' connections. Each may need a second one for
 /// its upstream, some of which are kept idle; the rest is for peers, pages and the platform.
 const CALLERS_SHARE: f64 = 0.55;
--- a/src/front/check.rs
+++ b/src/front/check.rs
@@ -15,20 +15,21 @@
 /// Why a request is rejected before any of it is forwarded.
 #[derive(Debug, Snafu)]
 pub(crate) enum RequestError {
-    /// HTTP/1.0 ends a streamed answer by closing the connection, so a cut answer would look complete.
-    #[snafu(display("{version:?} can't show a cut answer: use HTTP/1.1"))]
+    /// HTTP/1.0 ends a streamed answer by closing the connection, so a cut answer would look
+    /// complete.
+    #[snafu(display("{version:?} is not supported: use HTTP/1.1"))]
     Version { version: Version },
-    #[snafu(display("host: exactly one must be given"))]
+    #[snafu(display("host: must be given exactly once"))]
     Host,
     /// Parsers that prefer different headers would split the same bytes into different requests
     /// (request smuggling).
-    #[snafu(display("content-length and transfer-encoding: only one may be given"))]
+    #[snafu(display("content-length and transfer-encoding: must not both be given"))]
     TwoLengths,
-    #[snafu(display("body: more than {max_bytes} bytes"))]
+    #[snafu(display("body: exceeds the limit of {max_bytes} bytes"))]
     TooLarge { max_bytes: usize },
-    #[snafu(display("body: not whole after {timeout_ms} ms"))]
+    #[snafu(display("body: not received completely within {timeout_ms} ms"))]
     TooSlow { timeout_ms: u128 },
-    #[snafu(display("body: {detail}"))]
+    #[snafu(display("body: reading failed: {detail}"))]
     Broken { detail: String },
 }
 
@@ -76,19 +77,19 @@
     if declared_length(headers).is_some_and(|bytes| bytes > max_bytes as u64) {
         return TooLargeSnafu { max_bytes }.fail();
     }
-    let whole = Limited::new(body, max_bytes).collect();
-    let Ok(whole) = compio::time::timeout(timeout, whole).await else {
+    let collected = Limited::new(body, max_bytes).collect();
+    let Ok(result) = compio::time::timeout(timeout, collected).await else {
         let timeout_ms = timeout.as_millis();
         return TooSlowSnafu { timeout_ms }.fail();
     };
-    let whole = whole.map_err(|e| {
+    let collected = result.map_err(|e| {
         if e.is::<LengthLimitError>() {
             return RequestError::TooLarge { max_bytes };
         }
         let detail = e.to_string();
         RequestError::Broken { detail }
     })?;
-    Ok(whole.to_bytes())
+    Ok(collected.to_bytes())
 }
 
 /// Returns the body's length by the `content-length` header.
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,4 +1,5 @@
-//! Serves one caller's connection within limits on bytes and time, and cuts it if the caller stalls.
+//! Serves one caller's connection within limits on bytes and time, and cuts it if the caller
+//! stalls.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -19,8 +20,8 @@
 
 /// Smallest buffer size that hyper accepts.
 pub(crate) const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Factor of the parser's limits over the router's own, so that most oversized requests get the typed
-/// refusal instead of the parser's error.
+/// Factor of the parser's limits over the router's own, so that most oversized requests get the
+/// typed refusal instead of the parser's error.
 const PARSER_SLACK: usize = 2;
 
 /// Limits of one connection.
@@ -67,11 +68,11 @@
         .header_read_timeout(bounds.idle_time)
         .serve_connection(stream, service);
     let stalled = async {
-        let blocked = pin!(blocked.longer_than(bounds.blocked_time));
+        let blocked = pin!(blocked.wait_until_longer_than(bounds.blocked_time));
         let slow = pin!(head_clock.wait_until_slow());
         match select(blocked, slow).await {
-            Either::Left(_) => "it stopped reading",
-            Either::Right(_) => "its request head took longer than the limit",
+            Either::Left(_) => "it did not read its answer within the time limit",
+            Either::Right(_) => "its request head did not arrive within the time limit",
         }
     };
     match select(pin!(served), pin!(stalled)).await {
--- a/src/front/drain.rs
+++ b/src/front/drain.rs
@@ -1,7 +1,7 @@
 //! Drain state of a router: the phase of a planned stop and the requests in flight.
 //!
-//! Failure guarded against: a stopping router cuts answers in flight, and callers that still use its
-//! address can't connect. The router therefore announces the stop, keeps serving until no valid
+//! Failure guarded against: a stopping router cuts answers in flight, and callers that still use
+//! its address can't connect. The router therefore announces the stop, keeps serving until no valid
 //! entry answer names it, then refuses new work and stops when the last answer is sent.
 
 use std::cell::Cell;
--- a/src/front/listen.rs
+++ b/src/front/listen.rs
@@ -16,7 +16,7 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(e) => {
-                log::warn!("{who} not accepted: {e}");
+                log::warn!("accepting a connection failed ({who}), retrying in {RETRY:?}: {e}");
                 compio::time::sleep(RETRY).await;
             }
         }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP front end shared by both kinds of routers: connections and their limits, request validation,
-//! bodies, refusals, and draining.
+//! HTTP front end shared by both kinds of routers: connections and their limits, request
+//! validation, bodies, refusals, and draining.
 
 pub(crate) mod accept;
 pub(crate) mod body;
--- a/src/front/paced.rs
+++ b/src/front/paced.rs
@@ -29,7 +29,7 @@
 
 impl BlockedWrite {
     /// Returns once a write has been blocked for longer than `limit`.
-    pub(crate) async fn longer_than(&self, limit: Duration) {
+    pub(crate) async fn wait_until_longer_than(&self, limit: Duration) {
         loop {
             compio::time::sleep(limit / POLLS_PER_LIMIT).await;
             let since = self.since.get();
--- a/src/front/refusal.rs
+++ b/src/front/refusal.rs
@@ -59,8 +59,8 @@
             .unwrap_or_default()
     }
 
-    /// Returns the refusal as the bytes of a complete HTTP response that closes the connection, for a
-    /// caller whose request isn't read.
+    /// Returns the refusal as the bytes of a complete HTTP response that closes the connection, for
+    /// a caller whose request isn't read.
     pub(crate) fn raw(self, status: StatusCode, retry_after: &str) -> Vec<u8> {
         let json = self.json();
         format!(
--- a/src/log/check_tests.rs
+++ b/src/log/check_tests.rs
@@ -141,8 +141,8 @@
     assert!(check(&state(), &op).is_ok());
 }
 
-/// A newer build appends a record of an unknown schema. If this build skipped it, it would reject every
-/// later change that newer builds accept; instead the state before it stays in force.
+/// A newer build appends a record of an unknown schema. If this build skipped it, it would reject
+/// every later change that newer builds accept; instead the state before it stays in force.
 #[test]
 fn newer_record_stops_the_fold() {
     let mut fold = ConfigFold::default();
--- a/src/log/claims.rs
+++ b/src/log/claims.rs
@@ -171,8 +171,8 @@
 
     fn apply_outcome(&mut self, outcome: Outcome, now_ms: u64) {
         let key = self.entry(&outcome.key, now_ms);
-        // A claim that lost here may have an outcome: if the key is too old by now, the release of an
-        // earlier claim may have expired while a late copy of that claim is still in the log and
+        // A claim that lost here may have an outcome: if the key is too old by now, the release of
+        // an earlier claim may have expired while a late copy of that claim is still in the log and
         // seems to hold the key.
         let released = key.ended.get(&outcome.id) == Some(&EndReason::Released);
         invariant(!released, "a claim that was released has an outcome");
--- a/src/log/claims_fuzz_tests.rs
+++ b/src/log/claims_fuzz_tests.rs
@@ -1,5 +1,5 @@
-//! Fuzz tests of claims, against an oracle that records which requests ran and what their callers were
-//! answered.
+//! Fuzz tests of claims, against an oracle that records which requests ran and what their callers
+//! were answered.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -547,8 +547,8 @@
     }
 }
 
-/// Callers retry keys through any router, while the log loses replies, duplicates and delays appends and
-/// becomes unavailable, and while readers pause, crash and restart.
+/// Callers retry keys through any router, while the log loses replies, duplicates and delays
+/// appends and becomes unavailable, and while readers pause, crash and restart.
 #[test]
 fn non_idempotent_requests_run_at_most_once() {
     check_no_failure::<Claims>("claims");
--- a/src/log/config_fuzz_tests.rs
+++ b/src/log/config_fuzz_tests.rs
@@ -106,10 +106,10 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// The configuration that results from applying all changes in sequence, without snapshots, peers or
-/// expiry.
+/// The configuration that results from applying all changes in sequence, without snapshots, peers
+/// or expiry.
 struct Oracle {
-    /// Version and host marks before each offset.
+    /// Version, and whether each host is draining, before each offset.
     states: Vec<(u64, BTreeMap<String, bool>)>,
     /// The version produced by the first copy of each change, or `None` if it was rejected.
     changes: BTreeMap<String, Option<u64>>,
@@ -357,8 +357,8 @@
         }
     }
 
-    /// The log recovers: checks that all routers that can read it agree, and that no change reported as
-    /// not applied is in it.
+    /// The log recovers: checks that all routers that can read it agree, and that no change
+    /// reported as not applied is in it.
     fn quiesce(&mut self) {
         self.log.set_outage(false);
         self.peers.answer.set(None);
@@ -440,8 +440,9 @@
     }
 }
 
-/// Operators make concurrent changes while the log loses replies, duplicates and delays appends, expires
-/// records and becomes unavailable, and while routers pause, are replaced, and fetch states from peers.
+/// Operators make concurrent changes while the log loses replies, duplicates and delays appends,
+/// expires records and becomes unavailable, and while routers pause, are replaced, and fetch states
+/// from peers.
 #[test]
 fn accepted_configuration_never_reverts() {
     check_no_failure::<Configuration>("config");
--- a/src/log/config_task.rs
+++ b/src/log/config_task.rs
@@ -16,8 +16,8 @@
 use crate::schema::peer::{ConfigReply, ConfigRequest};
 use crate::util::{self, Clock};
 
-/// A snapshot is written after the log's retention divided by this, plus a delay that depends on the
-/// host.
+/// A snapshot is written after the log's retention divided by this, plus a delay that depends on
+/// the host.
 const SNAPSHOTS_PER_RETENTION: u32 = 16;
 
 type ApplyReply = oneshot::Sender<Result<ApplyOutcome, ApplyError>>;
@@ -44,8 +44,8 @@
 
 impl ConfigHandle {
     /// Starts the task on the current runtime. `host` determines the interval between snapshots, so
-    /// that routers don't all write them at the same time. Queries for other routers are sent to the
-    /// returned channel.
+    /// that routers don't all write them at the same time. Queries for other routers are sent to
+    /// the returned channel.
     pub fn spawn<L: Log + 'static>(
         log: L,
         host: &str,
--- a/src/log/config_tests.rs
+++ b/src/log/config_tests.rs
@@ -28,8 +28,8 @@
     })
 }
 
-/// Two operators make a change against the same version. The first one in the log is accepted; the other
-/// is rejected with the id of the accepted one.
+/// Two operators make a change against the same version. The first one in the log is accepted; the
+/// other is rejected with the id of the accepted one.
 #[test]
 fn one_of_two_racing_changes_is_accepted() {
     let mut fold = ConfigFold::default();
--- a/src/log/fake_tests.rs
+++ b/src/log/fake_tests.rs
@@ -238,7 +238,8 @@
     }
 }
 
-/// A future that the test polls step by step. Dropping it simulates a crash, not polling it a pause.
+/// A future that the test polls step by step. Dropping it simulates a crash, not polling it a
+/// pause.
 pub(crate) type Script<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Runs `script` until it waits for a call to be executed.
--- a/src/log/follow.rs
+++ b/src/log/follow.rs
@@ -126,7 +126,8 @@
             self.status = FollowStatus::LogDown;
             log::warn!("stream {STREAM} can't be read, keeping the current configuration: {e}");
         }
-        // Not for `FollowStatus::Newer`: a peer with a newer build has no state that this build can read.
+        // Not for `FollowStatus::Newer`: a peer with a newer build has no state that this build can
+        // read.
         if matches!(self.status, FollowStatus::LogDown | FollowStatus::Gap) {
             self.fetch_from_peer().await;
         }
@@ -274,9 +275,9 @@
     }
 
     /// Restores the state after records expired unread, from the newest snapshot from which kept
-    /// records lead to the end of the stream without a gap. Applying the kept records to the current
-    /// state instead would leave out the changes of the expired ones, and no later record would
-    /// reveal it.
+    /// records lead to the end of the stream without a gap. Applying the kept records to the
+    /// current state instead would leave out the changes of the expired ones, and no later record
+    /// would reveal it.
     async fn restore_snapshot(&mut self, batch: &Batch) -> Result<bool, LogError> {
         if mutated(Mutation::ApplyAcrossGap) {
             let state = State {
--- a/src/log/fuzz_tests.rs
+++ b/src/log/fuzz_tests.rs
@@ -21,7 +21,7 @@
     static FOUND: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Counts one step; to be called at each.
+/// Counts one step of a test case.
 pub(crate) fn count_step() {
     if !FOUND.get() {
         STEPS_TAKEN.set(STEPS_TAKEN.get() + 1);
@@ -77,7 +77,8 @@
     }
 }
 
-/// Runs the test `name` and fails if a case does. `FUZZ_CASES` and `FUZZ_SEED` override the defaults.
+/// Runs the test `name` and fails if a case does. `FUZZ_CASES` and `FUZZ_SEED` override the
+/// defaults.
 pub(crate) fn check_no_failure<T>(name: &str)
 where
     T: StateMachineTest,
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -211,8 +211,8 @@
     }
 
     /// Abandons a claim that may still be appended. Queues its release, which makes the claim
-    /// ineffective even if the claim is appended later, and answers [`LogDown`], so that the claimant
-    /// sends nothing.
+    /// ineffective even if the claim is appended later, and answers [`LogDown`], so that the
+    /// claimant sends nothing.
     fn abandon(&mut self, pending: PendingClaim) {
         if !mutated(Mutation::AbandonWithoutRelease) {
             self.enqueue(Body::Release(Release {
--- a/src/log/lease.rs
+++ b/src/log/lease.rs
@@ -2,9 +2,9 @@
 //!
 //! A lease is granted if no other lease was granted since its requester last read the stream. Wall
 //! clocks play no part: the holder stops one term after it began its append, measured by its own
-//! monotonic clock, and another router waits more than one term from when it first read the holder's
-//! record, which is later. The offset of the grant is the fencing number, which grows with every
-//! grant.
+//! monotonic clock, and another router waits more than one term from when it first read the
+//! holder's record, which is later. The offset of the grant is the fencing number, which grows with
+//! every grant.
 
 use std::collections::HashMap;
 
@@ -87,8 +87,8 @@
 }
 
 impl<L: Log, P: Timer> LeaseManager<L, P> {
-    /// Creates a manager that has read nothing. `host` must be unique to this incarnation: a restarted
-    /// host must wait for the lease of its previous incarnation like any other host.
+    /// Creates a manager that has read nothing. `host` must be unique to this incarnation: a
+    /// restarted host must wait for the lease of its previous incarnation like any other host.
     pub fn new(log: L, timer: P, host: String) -> Self {
         Self {
             log,
--- a/src/log/lease_fuzz_tests.rs
+++ b/src/log/lease_fuzz_tests.rs
@@ -1,5 +1,5 @@
-//! Fuzz tests of leases: at most one holder at a time, and orders arrive in the order of their fencing
-//! numbers.
+//! Fuzz tests of leases: at most one holder at a time, and orders arrive in the order of their
+//! fencing numbers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -270,8 +270,8 @@
         self.in_transit.push((now_ms + delay_ms, lease.fencing));
     }
 
-    /// Delivers the orders that are due. The upstream ignores fencing numbers: only the waiting time
-    /// prevents an order of a previous holder from arriving after one of its successor.
+    /// Delivers the orders that are due. The upstream ignores fencing numbers: only the waiting
+    /// time prevents an order of a previous holder from arriving after one of its successor.
     fn deliver_orders(&mut self) {
         self.in_transit.sort_unstable();
         let now_ms = self.now_ms.get();
@@ -331,8 +331,8 @@
     }
 }
 
-/// Hosts compete for a lease while the log loses replies, delays and duplicates appends and returns stale
-/// reads, and while holders pause beyond their term, crash and restart.
+/// Hosts compete for a lease while the log loses replies, delays and duplicates appends and returns
+/// stale reads, and while holders pause beyond their term, crash and restart.
 #[test]
 fn lease_has_at_most_one_holder() {
     check_no_failure::<Leases>("leases");
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -85,7 +85,8 @@
         records: Vec<String>,
     ) -> impl Future<Output = Result<u64, LogError>>;
 
-    /// Reads at most `max` records, starting at `from` or at the oldest kept record if that is later.
+    /// Reads at most `max` records, starting at `from` or at the oldest kept record if that is
+    /// later.
     ///
     /// # Errors
     /// Any failure to read.
--- a/src/log/slot.rs
+++ b/src/log/slot.rs
@@ -160,8 +160,8 @@
         self.covered_from_ms = covered_from_ms;
     }
 
-    /// Returns the offset at which to begin in order to read about `step` records more, and the wall
-    /// time since which all records would then have been read.
+    /// Returns the offset at which to begin in order to read about `step` records more, and the
+    /// wall time since which all records would then have been read.
     async fn probe(&self, step: u64, need_ms: u64) -> Result<(u64, u64), LogError> {
         let from = self.start.saturating_sub(step);
         let batch = self.log.read(&self.stream, from, 1).await?;
--- a/src/peers/packed_tests.rs
+++ b/src/peers/packed_tests.rs
@@ -1,7 +1,8 @@
 use super::compression::{compress, decompress};
 
-/// An operator adds 1,400 routes, and dozens of routers ask the first one that has them, over a
-/// link of 10 Mbit/s. Within the second that a question may take, forty must get them: 30 KB each.
+/// An operator adds 1,400 routes, and dozens of routers fetch them from the first router that has
+/// them, over a link of 10 Mbit/s. Forty replies must fit into the query timeout of 1 s, so each
+/// may have 30 KB.
 #[test]
 fn large_configuration_compresses_well() {
     let route = |i: u32| {
--- a/src/peers/refuse.rs
+++ b/src/peers/refuse.rs
@@ -19,7 +19,7 @@
 }
 
 /// Returns a refusal with the default text for its cause.
-pub(crate) fn explained(refusal: &Refusal) -> peer::Refusal {
+pub(crate) fn with_default_detail(refusal: &Refusal) -> peer::Refusal {
     message(refusal, default_detail(refusal.cause))
 }
 
--- a/src/serve/callers/answers.rs
+++ b/src/serve/callers/answers.rs
@@ -42,13 +42,13 @@
     compio::runtime::spawn(async move {
         while let Some(body) = recv_while_open(&mut rest, &tx).await {
             emit_end(&events, &body, &id, start);
-            let whole = matches!(body, Body::End(_));
+            let complete = matches!(body, Body::End(_));
             let (piece, last) = sse(body, &id);
             if tx.send(piece).await.is_err() {
                 return;
             }
             if last {
-                return tally.ended(whole);
+                return tally.ended(complete);
             }
         }
         if !tx.is_closed() {
@@ -211,7 +211,8 @@
         run: RunState::Ran,
         ..Refusal::unknown(Cause::TooLarge)
     };
-    let detail = format!("answer: more than {MAX_COLLECTED_BYTES} bytes; set stream to true");
+    let detail =
+        format!("answer: exceeds the limit of {MAX_COLLECTED_BYTES} bytes; set stream to true");
     refuse::message(&refusal, detail)
 }
 
--- a/src/serve/callers/headers.rs
+++ b/src/serve/callers/headers.rs
@@ -27,9 +27,9 @@
 /// Why a caller's headers are refused.
 #[derive(Debug, PartialEq, Snafu)]
 pub(crate) enum HeaderError {
-    #[snafu(display("headers: {bytes} bytes, more than {max}"))]
+    #[snafu(display("headers: {bytes} bytes exceed the limit of {max}"))]
     TooLarge { bytes: usize, max: usize },
-    #[snafu(display("headers: {count} lines, more than {MAX_HEADERS}"))]
+    #[snafu(display("headers: {count} lines exceed the limit of {MAX_HEADERS}"))]
     TooMany { count: usize },
     #[snafu(display("{name}: given more than once"))]
     Repeated { name: &'static str },
--- a/src/serve/callers/refusal.rs
+++ b/src/serve/callers/refusal.rs
@@ -9,7 +9,7 @@
 
 const SECOND_MS: u64 = 1_000;
 
-fn words<'a>(refused: &'a peer::Refusal, request_id: &'a str) -> ErrorBody<'a> {
+fn error_body<'a>(refused: &'a peer::Refusal, request_id: &'a str) -> ErrorBody<'a> {
     ErrorBody {
         cause: &refused.cause,
         run_state: &refused.run_state,
@@ -24,18 +24,18 @@
 }
 
 pub(crate) fn json(refused: &peer::Refusal, request_id: &str) -> String {
-    words(refused, request_id).json()
+    error_body(refused, request_id).json()
 }
 
 pub(crate) fn response(refused: &peer::Refusal, request_id: &str) -> Response<Answer> {
     let seconds = refused.retry_after_ms.div_ceil(SECOND_MS);
-    words(refused, request_id).response(status(cause(refused)), seconds.into())
+    error_body(refused, request_id).response(status(cause(refused)), seconds.into())
 }
 
 /// Returns the raw response for a caller whose request is not read.
 pub(crate) fn raw(refused: &peer::Refusal) -> Vec<u8> {
     let seconds = refused.retry_after_ms.div_ceil(SECOND_MS).to_string();
-    words(refused, "").raw(status(cause(refused)), &seconds)
+    error_body(refused, "").raw(status(cause(refused)), &seconds)
 }
 
 #[cfg(test)]
--- a/src/serve/callers/refusal_tests.rs
+++ b/src/serve/callers/refusal_tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::decide::refusal::Refusal;
-use crate::peers::refuse::explained;
+use crate::peers::refuse::with_default_detail;
 
 const OPERATIONS: &str = include_str!("../../../docs/OPERATIONS.md");
 
@@ -19,7 +19,7 @@
 async fn every_cause_gives_a_typed_refusal() {
     for cause in Cause::iter() {
         for retry_after_ms in [0, 1, 1_500] {
-            let refused = explained(&Refusal::not_run(cause, retry_after_ms));
+            let refused = with_default_detail(&Refusal::not_run(cause, retry_after_ms));
             let response = response(&refused, "r-1");
             let code = response.status();
             assert!(code.is_client_error() || code.is_server_error(), "{cause}");
@@ -42,7 +42,7 @@
 /// A caller whose request is not read must still receive a complete response.
 #[test]
 fn raw_refusal_has_its_content_length() {
-    let refused = explained(&Refusal::not_run(Cause::ConnectionLimit, 1_000));
+    let refused = with_default_detail(&Refusal::not_run(Cause::ConnectionLimit, 1_000));
     let text = String::from_utf8(raw(&refused)).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     assert!(head.starts_with("HTTP/1.1 503 "), "{head}");
--- a/src/serve/home/admit.rs
+++ b/src/serve/home/admit.rs
@@ -104,7 +104,7 @@
             let closed = tx.closed();
             pin_mut!(admit, closed);
             match select(admit, closed).await {
-                Either::Left((admitted, _)) => admitted.map_err(|r| explained(&r))?,
+                Either::Left((admitted, _)) => admitted.map_err(|r| with_default_detail(&r))?,
                 // Dropping `admit` removes the job from the queue.
                 Either::Right(_) => return Ok(()),
             }
@@ -266,6 +266,6 @@
     }
 }
 
-fn explained(refusal: &Refusal) -> peer::Refusal {
-    refuse::explained(refusal)
+fn with_default_detail(refusal: &Refusal) -> peer::Refusal {
+    refuse::with_default_detail(refusal)
 }
--- a/src/serve/home/task.rs
+++ b/src/serve/home/task.rs
@@ -102,7 +102,7 @@
     tx: mpsc::WeakUnboundedSender<HomeMsg>,
 }
 
-enum Wake {
+enum Wakeup {
     Msg(Option<HomeMsg>),
     Report(Option<Report>),
     Tick,
@@ -111,10 +111,10 @@
 impl Task {
     async fn run(mut self, mut rx: mpsc::UnboundedReceiver<HomeMsg>, mut reports: Reports) {
         loop {
-            match wake(&mut rx, &mut reports, !self.waiting.is_empty()).await {
-                Wake::Msg(Some(msg)) => self.handle(msg),
-                Wake::Msg(None) => return,
-                Wake::Report(report) => {
+            match next_wakeup(&mut rx, &mut reports, !self.waiting.is_empty()).await {
+                Wakeup::Msg(Some(msg)) => self.handle(msg),
+                Wakeup::Msg(None) => return,
+                Wakeup::Report(report) => {
                     self.apply_report(report);
                     if self.can_stop() && rx.is_empty() {
                         self.tasks.borrow_mut().remove(&self.name);
@@ -123,7 +123,7 @@
                         return;
                     }
                 }
-                Wake::Tick => self.poll(),
+                Wakeup::Tick => self.poll(),
             }
             self.publish();
         }
@@ -344,19 +344,19 @@
     }
 }
 
-async fn wake(
+async fn next_wakeup(
     rx: &mut mpsc::UnboundedReceiver<HomeMsg>,
     reports: &mut Reports,
     waiting: bool,
-) -> Wake {
+) -> Wakeup {
     let msg = rx.recv().fuse();
     let report = next_report(reports).fuse();
     let tick = tick(waiting).fuse();
     pin_mut!(msg, report, tick);
     select_biased! {
-        msg = msg => Wake::Msg(msg),
-        report = report => Wake::Report(report),
-        () = tick => Wake::Tick,
+        msg = msg => Wakeup::Msg(msg),
+        report = report => Wakeup::Report(report),
+        () = tick => Wakeup::Tick,
     }
 }
 
--- a/src/serve/operator/mod.rs
+++ b/src/serve/operator/mod.rs
@@ -172,8 +172,9 @@
             } => {
                 reply.version = version;
                 reply.winner = winner;
-                reply.reason =
-                    format!("the change is not based on version {version}, which {author} made");
+                reply.reason = format!(
+                    "the change is not based on the current version {version}, made by {author}"
+                );
             }
             Applied::Invalid { reason } => reply.reason = reason,
             Applied::Newer { .. } | Applied::Skipped => {
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -172,7 +172,8 @@
         match self.ctx.claims.lookup(&claim.key, at_ms).await {
             Ok(status @ KeyStatus::Done(..)) => self.answer_resend(&claim, status),
             _ => Err(outcome_unknown(
-                "the router that this key names is gone; nobody knows whether it ran",
+                "the router named in this key gave no answer and no outcome was found on the log: it \
+                 is unknown whether the request ran",
             )),
         }
     }
@@ -203,7 +204,7 @@
         let own = run_key.filter(|k| k.prefix == self.ctx.run_keys.prefix());
         let Some(at_ms) = own.and_then(|k| uuid_ms(k.id)) else {
             return refuse::frames(outcome_unknown(
-                "this router was replaced since it issued this run key",
+                "this router has restarted since the run key was issued",
             ));
         };
         let mut started = match self.run_own(at_ms, forward).await {
@@ -309,7 +310,9 @@
         let begun_ms = uuid_ms(&holder.id).unwrap_or(0);
         let ends_ms = begun_ms + holder.run_ms + RUN_GRACE_MS + claims::CLOCK_MARGIN_MS;
         if wall_ms() > ends_ms {
-            return outcome_unknown("the router that ran this key is gone");
+            return outcome_unknown(
+                "the router that ran the request with this key is presumed dead",
+            );
         }
         let refusal = Refusal {
             cause: Cause::StillRunning,
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -174,7 +174,7 @@
             tokens,
         };
         let chat = ChatKey(forward.chat_key);
-        if self.remember(chat, location) {
+        if self.store_location(chat, location) {
             return;
         }
         let pool = self.nonempty_pool(&forward.service);
@@ -196,7 +196,7 @@
     }
 
     /// Records a chat's location; returns whether it was there before.
-    fn remember(&self, chat: ChatKey, location: ChatLocation) -> bool {
+    fn store_location(&self, chat: ChatKey, location: ChatLocation) -> bool {
         let chats = &mut self.state.borrow_mut().chats;
         let before = chats.get(chat).map(|l| l.upstream.clone());
         let same = before.as_ref() == Some(&location.upstream);
--- a/src/serve/route/tokens.rs
+++ b/src/serve/route/tokens.rs
@@ -2,8 +2,9 @@
 //!
 //! An entry answer contains a prefix, to which a caller adds a UUID of version 7 for each request.
 //! Only the incarnation named in the prefix runs such a key. It keeps its claims in memory, so run
-//! keys work during an outage of the log. Other routers forward the request to it. Once it is gone,
-//! what it ran is unknown: the key is refused with an unknown outcome and never run elsewhere.
+//! keys work during an outage of the log. Other routers forward the request to it. If it
+//! gives no answer, a key whose outcome isn't on the log is refused with an unknown outcome; it is
+//! never run elsewhere.
 
 use std::cell::RefCell;
 
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -14,7 +14,7 @@
 use crate::stats;
 
 /// Timeout for notifying peers that this router has finished.
-const GOODBYE_TIMEOUT: Duration = Duration::from_millis(500);
+const LEAVE_NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Retry delay for refused callers. Their entry addresses have expired by then, so they retry at
 /// another router.
 const RETRY_AFTER_MS: u64 = 100;
@@ -42,7 +42,7 @@
     let unfinished = ctx.drain.wait_until_idle(limit).await;
     let (done, notified) = oneshot::channel();
     ctx.gossip.send(GossipCommand::Finish(done));
-    let _ = compio::time::timeout(GOODBYE_TIMEOUT, notified).await;
+    let _ = compio::time::timeout(LEAVE_NOTICE_TIMEOUT, notified).await;
     ctx.events.emit(Kind::RouterStopped, |e| {
         e.detail = format!("{unfinished} still in flight at the limit");
     });
