--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -44,13 +44,13 @@
 pub enum Which {
     /// A host of the fleet.
     Host {
-        /// Host whose router is meant
+        /// Name of the host
         #[bpaf(long("host"), argument("NAME"))]
         host: String,
     },
     /// An upstream.
     Upstream {
-        /// Upstream that is meant
+        /// Name of the upstream
         #[bpaf(long("upstream"), argument("NAME"))]
         upstream: String,
     },
--- a/src/cmd/output.rs
+++ b/src/cmd/output.rs
@@ -42,8 +42,8 @@
     value.to_string()
 }
 
-pub(crate) fn yes_no(holds: bool) -> String {
-    if holds { "yes" } else { "no" }.to_owned()
+pub(crate) fn yes_no(value: bool) -> String {
+    if value { "yes" } else { "no" }.to_owned()
 }
 
 #[cfg(test)]
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -141,7 +141,7 @@
             };
             if !taken.insert(addr) {
                 let path = join("listen", prop.name.as_str());
-                let reason = format!("{addr} is already given to another listener");
+                let reason = format!("{addr} is already the address of another listener");
                 self.fault(prop.value.range().start, path, reason);
             }
         }
@@ -278,7 +278,9 @@
 
 fn advertised_addr(text: &str) -> Result<(), String> {
     if addr(text)?.ip().is_unspecified() {
-        return Err("must name one interface: this address is given to other hosts".to_owned());
+        return Err(
+            "must name one interface, because other hosts connect to this address".to_owned(),
+        );
     }
     Ok(())
 }
--- a/src/config/fields.rs
+++ b/src/config/fields.rs
@@ -9,7 +9,7 @@
     Name,
     /// An IP address and port.
     Addr,
-    /// An IP address and port that other hosts are given: it must name one interface.
+    /// An IP address and port that other hosts connect to; 0.0.0.0 and :: are invalid.
     ToldAddr,
     /// A secret of [`MIN_KEY_BYTES`] to [`MAX_KEY_BYTES`] visible ASCII characters.
     Key,
--- a/src/gen/records.rs
+++ b/src/gen/records.rs
@@ -57,11 +57,11 @@
 pub struct ClaimRecord {
     #[prost(uint32, tag = "1")]
     pub schema: u32,
-    /// The appender had read all records below this offset ...
+    /// The appender had read all records below this offset.
     #[prost(uint64, tag = "2")]
     pub read_to: u64,
-    /// ... by this wall-clock time, accurate to within the stated margin: all of them were stored
-    /// before it.
+    /// Wall-clock time by which it had read them, accurate to within the stated margin: all of them
+    /// were stored before this time.
     #[prost(uint64, tag = "3")]
     pub read_at_ms: u64,
     #[prost(oneof = "claim_record::Body", tags = "4, 5, 6")]
--- a/src/gen/settings.rs
+++ b/src/gen/settings.rs
@@ -132,41 +132,43 @@
     /// "error", "warn", "info", "debug" or "trace".
     #[prost(string, tag = "1")]
     pub log_level: ::prost::alloc::string::String,
-    /// Write time line events to standard output.
+    /// Whether timeline events are written to standard output.
     #[prost(bool, tag = "2")]
     pub events: bool,
 }
-/// Mechanisms that can be switched off, with the keyed log: to find which one misbehaves, or to do
-/// without it until it is repaired. All are on by default.
+/// With the keyed log: mechanisms of the request path that can be switched off, to find out which
+/// one is faulty or to run without it until it is fixed. All are on by default.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Decisions {
-    /// Requests wait or are refused here when a service has no free slot. Off: all are sent at once.
+    /// Requests are queued or refused at this router when a service has no free slot. Off: all are
+    /// sent at once.
     #[prost(bool, tag = "1")]
     pub admission: bool,
-    /// Prompts go where their shared parts are cached. Off: to the upstream with the fewest running
-    /// requests.
+    /// Prompts are sent to upstreams that have cached their shared parts. Off: to the upstream with
+    /// the fewest running requests.
     #[prost(bool, tag = "2")]
     pub part_order: bool,
-    /// A part spreads to a second upstream when its first one runs much more than the pool's mean.
-    /// Off: only when that one is full.
+    /// A part is spread to a second upstream when the load of its first one is far above the pool's
+    /// mean. Off: only when the first one is full.
     #[prost(bool, tag = "3")]
     pub load_bound: bool,
-    /// An upstream fetches a shared part from one that has it. Off: it computes the part itself.
+    /// An upstream fetches a shared part from another that has cached it. Off: it computes the
+    /// part.
     #[prost(bool, tag = "4")]
     pub fetch: bool,
-    /// Requests that other routers run count towards an upstream's load. Off: only this router's own
+    /// Requests of other routers count towards an upstream's load. Off: only this router's requests
     /// do.
     #[prost(bool, tag = "5")]
     pub told_counts: bool,
-    /// Upstreams that fail in a row or are slow beside their pool get no work for a while.
+    /// Upstreams with consecutive failures, or slower than their pool, temporarily get no work.
     #[prost(bool, tag = "6")]
     pub ejection: bool,
-    /// So do those that fail a larger share of their calls than their pool.
+    /// Upstreams that fail a larger share of their calls than their pool temporarily get no work.
     #[prost(bool, tag = "7")]
     pub grey: bool,
-    /// So do those that accepted no connection a moment ago.
+    /// Upstreams that recently accepted no connection temporarily get no work.
     #[prost(bool, tag = "8")]
     pub unreachable: bool,
     /// Requests that crashed several upstreams are refused.
@@ -175,7 +177,7 @@
     /// A request that may be repeated is sent to another upstream when its answer stalls.
     #[prost(bool, tag = "10")]
     pub ask_elsewhere: bool,
-    /// A stream that broke off is continued at another upstream. Off: it is cut.
+    /// An interrupted stream is resumed at another upstream. Off: it is cut.
     #[prost(bool, tag = "11")]
     pub resume: bool,
     /// Each router opens only its share of an upstream's connections.
--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -38,7 +38,7 @@
     pub mute: bool,
 }
 
-/// A fault in a response. The request has run in all cases but the first two.
+/// A fault in a response. The request has run in all cases but `Reject`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseFault {
--- a/tests/bad_callers.rs
+++ b/tests/bad_callers.rs
@@ -120,8 +120,8 @@
     wait_in_flight(&fleet, 0).await;
 }
 
-/// Idle callers take every connection. The next is told at once to use another address; after one
-/// disconnects, a new connection is accepted.
+/// Idle callers take every connection. The next is refused at once and directed to another address;
+/// after one disconnects, a new connection is accepted.
 #[compio::test]
 async fn connections_beyond_the_cap_are_answered_at_once() {
     let fleet = fleet(json!({ "max_connections": 2 })).await;
--- a/tests/cli_drain.rs
+++ b/tests/cli_drain.rs
@@ -11,7 +11,7 @@
 };
 
 #[compio::test]
-async fn upstream_and_back() {
+async fn upstream_is_drained_and_undrained() {
     let fleet = Fleet::start(SHAPE).await;
     let work = WorkDir::for_fleet(&fleet);
     work.ok(&["drain", "--upstream", "engine-0"]);
@@ -28,7 +28,7 @@
 }
 
 #[compio::test]
-async fn host_and_back() {
+async fn host_is_drained_and_undrained() {
     let fleet = Fleet::start(SHAPE).await;
     let work = WorkDir::for_fleet(&fleet);
     let err = work.fails(8, &["drain", "--host", "router-77"]);
--- a/tests/cli_evacuate.rs
+++ b/tests/cli_evacuate.rs
@@ -16,7 +16,7 @@
 /// none of them runs there and no caller is refused; after the evacuation is undone, the engine
 /// gets work again.
 #[compio::test]
-async fn data_center_and_back() {
+async fn data_center_is_evacuated_and_restored() {
     let fleet = Fleet::start(SHAPE).await;
     let work = WorkDir::for_fleet(&fleet);
     let sent = Cell::new(0);
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -72,9 +72,9 @@
     .await;
 }
 
-/// A host is drained while callers stream through it and through the upstreams it is home of. Each
-/// caller must get the whole answer, the process must exit with 0, and callers that follow their
-/// entry answers must see no error.
+/// A host is drained while callers stream through it and from upstreams that have their home there.
+/// Each caller must get the whole answer, the process must exit with 0, and callers that follow
+/// their entry answers must see no error.
 #[compio::test]
 async fn planned_stop_cuts_nothing() {
     let mut fleet = Fleet::start(SHAPE).await;
@@ -160,7 +160,7 @@
 }
 
 /// A router is paused until the others have declared it dead, and requests pile up in its sockets.
-/// On waking it must not admit them as the home it no longer is: it first learns that it was
+/// When it resumes it is no longer a home, so it must not admit them: it first learns that it was
 /// declared dead and rejoins with a higher incarnation.
 #[compio::test]
 async fn woken_router_admits_nothing_before_it_refutes_its_death() {
--- a/tests/long_run.rs
+++ b/tests/long_run.rs
@@ -10,7 +10,7 @@
 /// may contradict the records.
 #[test_case(2)]
 #[test_case(7)]
-fn nothing_untrue_is_told(seed: u32) {
+fn answers_match_upstream_records(seed: u32) {
     let bin = Path::new(env!("CARGO_BIN_EXE_cassiagrade"));
     let path = bin.parent().unwrap().join("examples/longrun");
     let mut command = Command::new(path);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -21,7 +21,7 @@
 }
 
 /// A router is paused for less than the suspicion timeout. Others suspect it; when it runs again it
-/// learns that, refutes, and no router declares it dead.
+/// learns of the suspicion and refutes it, and no router declares it dead.
 #[test]
 fn frozen_member_refutes() {
     let mut net = Net::start(9, 5_000);
@@ -40,8 +40,8 @@
 }
 
 /// A router is paused until all have declared it dead and its upstreams have other homes. On
-/// waking, its state still says that it is home: it must distrust that before it acts, and rejoin
-/// with a higher incarnation once it learns of its death.
+/// resuming, its own state still lists it as their home: it must not act on that state, and rejoin
+/// with a higher incarnation once it learns that it was declared dead.
 #[test]
 fn woken_router_distrusts_its_own_state() {
     let mut net = Net::start(9, 5_000);
@@ -83,8 +83,8 @@
     });
 }
 
-/// A host is replaced at once by another under the same name and address. The state of the first,
-/// even its death, must not apply to the second.
+/// A host is immediately replaced by another with the same name and address. The state of the
+/// first, even "dead", must not apply to the second.
 #[test]
 fn replaced_host_does_not_inherit_state() {
     let mut net = Net::start(9, 5_000);
--- a/tests/proof_1_load_bound.rs
+++ b/tests/proof_1_load_bound.rs
@@ -134,7 +134,7 @@
 }
 
 /// The same surge while one router is repeatedly frozen and woken, so that others take over its
-/// upstreams while its own state still says that it is their home, and while the list of hosts is
+/// upstreams while its own state still lists it as their home, and while the list of hosts is
 /// stale. Two homes admit to one engine for seconds; without a check against the engine's own
 /// report they would fill it twice.
 #[compio::test]
--- a/tests/routed_bad_callers.rs
+++ b/tests/routed_bad_callers.rs
@@ -73,7 +73,7 @@
 }
 
 #[compio::test]
-async fn too_much_is_refused() {
+async fn oversized_requests_are_refused() {
     let routed = RoutedFleet::start(FleetSize::default()).await;
     let id = new_request_id();
     let long = exchange(&routed, &head(&id, "content-length: 200000\r\n\r\n"));
@@ -188,7 +188,7 @@
 
 /// Idle callers take all connections that the router accepts; more would use up the file
 /// descriptors that calls to upstreams need. Connected callers are served; one more is refused at
-/// once, as not run, and told to use another router.
+/// once, as not run, and directed to another router.
 #[compio::test]
 async fn connection_over_the_limit_is_refused() {
     const MAX_OPEN_FILES: u32 = 20;
--- a/tests/routed_path.rs
+++ b/tests/routed_path.rs
@@ -46,8 +46,9 @@
     assert_eq!(received.data(), wanted);
 }
 
-/// What no configuration allows is refused and runs nowhere; what the newest one allows is served
-/// by every router, including those that did not read it from the store themselves.
+/// A request that the configuration does not allow is refused and not run; one that only the newest
+/// configuration allows is served by every router, including those that received the configuration
+/// from a peer instead of the store.
 #[compio::test]
 async fn configuration_is_in_force_on_all_routers() {
     let size = FleetSize {
--- a/tests/routed_stop.rs
+++ b/tests/routed_stop.rs
@@ -77,8 +77,7 @@
     assert!(routed.routers[0].exited().is_none());
 }
 
-/// An on-call engineer has only the log: from its request id, the steps of one failed request can
-/// be followed.
+/// The router's log and the request id are enough to follow the steps of one failed request.
 #[compio::test]
 async fn log_shows_the_steps_of_a_failed_request() {
     let routed = RoutedFleet::start(FleetSize::default()).await;
--- a/tests/routed_upstream_faults.rs
+++ b/tests/routed_upstream_faults.rs
@@ -1,5 +1,5 @@
-//! Upstream failures of every kind: which requests are answered, which are retried, and what the
-//! refusals say.
+//! Upstream failures of every kind: which requests are answered, which are retried, and the cause
+//! and run state of refusals.
 
 mod support;
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -9,10 +9,10 @@
 /// the upstreams' records.
 #[test_case(1, 8)]
 #[test_case(2, 8)]
-#[test_case(11, 8; "knobs of a frozen upstream held up the soak itself for ever")]
-#[test_case(17, 8; "one of the soak's own faults never went in and held it up; which one is not traced")]
-#[test_case(329, 20; "entries of replaced upstreams took all retries, as each came back unrun again and again")]
-fn nothing_untrue_is_told(seed: u32, seconds: u32) {
+#[test_case(11, 8; "setting knobs of a frozen upstream blocked the soak forever")]
+#[test_case(17, 8; "injecting a fault never finished and blocked the soak; which fault is unknown")]
+#[test_case(329, 20; "entries of replaced upstreams used up all retries, because each was repeatedly rejected as not run")]
+fn answers_match_upstream_records(seed: u32, seconds: u32) {
     let bin = Path::new(env!("CARGO_BIN_EXE_cassiagrade"));
     let path = bin.parent().unwrap().join("examples/soak");
     let mut command = Command::new(path);
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -303,7 +303,7 @@
         .await;
     }
 
-    /// Returns every time line event up to now, unordered. All routers must be running. A router
+    /// Returns every timeline event up to now, unordered. All routers must be running. A router
     /// writes its lines in order but with a delay, so a refused request serves as the end marker.
     pub(crate) async fn events_until_now(&self) -> Vec<Value> {
         for i in 0..self.routers.len() {
@@ -320,7 +320,7 @@
         self.events()
     }
 
-    /// Returns the time line events that the routers have written so far, unordered.
+    /// Returns the timeline events that the routers have written so far, unordered.
     pub(crate) fn events(&self) -> Vec<Value> {
         let read = |p: &Process| std::fs::read_to_string(self.out_path(&p.name)).unwrap();
         let texts: Vec<String> = self.routers.iter().map(read).collect();
--- a/tests/support/routed.rs
+++ b/tests/support/routed.rs
@@ -284,7 +284,7 @@
 
     /// Waits until `count` upstreams have crashed and restarts them. A crashing process closes its
     /// connections before it can be waited for, so the caller sees the crash first; a single check
-    /// could still take the process for alive and never restart it.
+    /// could still find the process running and never restart it.
     pub(crate) async fn replace_crashed(&mut self, count: usize) {
         let upstreams = std::cell::RefCell::new(&mut self.upstreams);
         let ended = || {
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line over processes whose clocks differ, and the command that prints it.
+//! The timeline over processes whose clocks differ, and the command that prints it.
 
 mod support;
 
@@ -18,7 +18,7 @@
 const HOSTS: usize = 3;
 const MESSAGES: usize = 300;
 
-/// An in-memory output for a time line.
+/// An in-memory output for a timeline.
 #[derive(Clone, Default)]
 struct MemoryOutput(Arc<Mutex<Vec<u8>>>);
 
@@ -193,7 +193,7 @@
 }
 
 /// A request that reached the wrong router hops to its engine's home: two processes write events,
-/// and its time line must be in causal order.
+/// and its timeline must be in causal order.
 #[compio::test]
 async fn hopped_request_events_are_in_causal_order() {
     let fleet = Fleet::start_with(Options::new(3, 3, 0)).await;
