--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -1,5 +1,5 @@
 //! Load patterns for the decision module, on a virtual clock with fixed seeds, each with the module
-//! off (plain consistent hashing, first in first out) and on, judged by what callers receive.
+//! off (plain consistent hashing and FIFO queues) and on, judged by what callers receive.
 
 #[allow(dead_code, reason = "the tables use the rest")]
 #[path = "../benches/policies/sim/mod.rs"]
@@ -32,7 +32,7 @@
     out.refused_at_once as f64 / out.refusals.max(1) as f64
 }
 
-/// For five seconds every account sends eight times its usual load. First in first out, the few
+/// For five seconds every account sends eight times its usual load. With FIFO queues, the few
 /// requests of small accounts wait behind the rest. With fair queues their latency hardly changes,
 /// and none is lost.
 #[test]
@@ -56,7 +56,7 @@
     assert_eq!(on.late, 0);
 }
 
-/// The largest account sends ten times its usual rate for two minutes. First in first out, every
+/// The largest account sends ten times its usual rate for two minutes. With FIFO queues, every
 /// account's answers are minutes late. With weighted shares the small accounts' latency hardly
 /// rises, and the large account is refused at once with a retry time.
 #[test]
@@ -106,8 +106,8 @@
 }
 
 /// One engine takes four times as long. Its chats keep coming, and its queue grows without end.
-/// Counted by work in flight it is as full as the other engines with a quarter of the jobs, so it
-/// gets fewer.
+/// Load is measured as work in flight, so this engine reaches the load of the others with a quarter
+/// of their jobs and gets fewer.
 #[test]
 fn slow_engine_gets_fewer_jobs() {
     let setup = Setup {
@@ -140,7 +140,7 @@
     );
 }
 
-/// Work arrives at one and a half and at three times the engines' capacity. First in first out,
+/// Work arrives at one and a half and at three times the engines' capacity. With FIFO queues,
 /// soon every answer is late. With early refusals the engines complete as much in time as at full
 /// load, and refused callers get a retry time at once.
 #[test]
