--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -168,8 +168,9 @@
     assert_eq!(answer.text(), expected_answer("mine", 5));
 }
 
-/// The only engine crashes during the first attempt, which may have run, and the second attempt finds
-/// no engine. The request must not be refused as not run, although its second attempt did not run.
+/// The only engine crashes during the first attempt, which may have run, and the second attempt
+/// finds no engine. The request must not be refused as not run, although its second attempt did not
+/// run.
 #[compio::test]
 async fn not_run_covers_all_attempts() {
     let mut fleet = Fleet::start(Shape {
