--- a/src/decide/concurrency_tests.rs
+++ b/src/decide/concurrency_tests.rs
@@ -31,7 +31,7 @@
     assert!(limit.limit() > 100, "{}", limit.limit());
 }
 
-/// A service fails every call. The floor keeps a few calls going, so that its recovery is noticed.
+/// A service fails every call. The floor admits a few calls, so that its recovery is detected.
 #[test]
 fn limit_stays_at_its_floor() {
     let mut limit = Concurrency::default();
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -47,7 +47,7 @@
     pub excluded: bool,
     /// It is alive but gets no work from this router, because it is evacuated or cold.
     pub withheld: bool,
-    /// It has been there long enough to have shared parts cached, and can be asked for them.
+    /// It has run long enough to have shared parts cached, and other upstreams can fetch them.
     pub has_parts: bool,
 }
 
--- a/src/fleet/leaving_tests.rs
+++ b/src/fleet/leaving_tests.rs
@@ -5,8 +5,8 @@
 use crate::fleet::leaving::{LEAVING_TTL_MS, LeavingTable};
 use crate::fleet::loads::digest;
 
-/// An engine is taken away and only one router knows. The others must stop sending it work soon
-/// after, whichever source the first one has, and resume a while after it is back.
+/// An engine is leaving and only one router knows. The others must stop sending it work soon after,
+/// whichever source the first one has, and resume a while after it has returned.
 #[test_case(true; "by the platform's list")]
 #[test_case(false; "by the engine's own report")]
 fn leaving_spreads_and_ends(by_list: bool) {
@@ -27,7 +27,7 @@
     assert!(other.known(1_001).contains(&digest("engine-1")));
     set_leaving(&mut first, false);
     let mut now_ms = 1_001;
-    // Both go on exchanging what they received; this alone must not keep the report alive.
+    // Both continue to exchange what they received, which alone must not renew the report.
     while now_ms < 1_001 + LEAVING_TTL_MS {
         now_ms += 100;
         first.merge(&other.sample(4, now_ms, &mut rng), now_ms);
--- a/src/fleet/loads_tests.rs
+++ b/src/fleet/loads_tests.rs
@@ -110,7 +110,7 @@
 }
 
 /// An upstream's home moves to another router while jobs of the former home still end. The former
-/// home must not go on sending a load, or the figures of the two homes would alternate.
+/// home must stop sending the load, or the values of the two homes would alternate.
 #[test]
 fn former_home_stops_publishing() {
     let mut rng = SmallRng::seed_from_u64(3);
--- a/src/path/log_replica.rs
+++ b/src/path/log_replica.rs
@@ -265,8 +265,8 @@
         self.suspend.record_refresh(asked_ms);
     }
 
-    /// Applies the records of upstreams from offset `from` on, which were all there were at
-    /// `seen_ms`.
+    /// Applies the records of upstreams from offset `from` on: all that the log had at `seen_ms`.
+    /// They were requested at `asked_ms`.
     pub(crate) fn apply_records(
         &self,
         from: u64,
--- a/src/path/log_replica/orders.rs
+++ b/src/path/log_replica/orders.rs
@@ -13,8 +13,8 @@
         self.state.evacuations().offset()
     }
 
-    /// Applies the records of operators from offset `from` on, which were all there were at
-    /// `seen_ms`. They were requested at `asked_ms`.
+    /// Applies the records of operators from offset `from` on: all that the log had at `seen_ms`.
+    /// They were requested at `asked_ms`.
     pub(crate) fn apply_orders(&self, from: u64, orders: Vec<Order>, asked_ms: u64, seen_ms: u64) {
         self.check_clock();
         let end = from + orders.len() as u64;
--- a/src/path/mod.rs
+++ b/src/path/mod.rs
@@ -117,7 +117,7 @@
         in_flight::reachable(self.gossip.in_flight().reporting, self.routers())
     }
 
-    /// Address at which other routers connect to `host`.
+    /// Returns the address at which other routers connect to `host`.
     pub(crate) fn peer_addr(&self, host: &str) -> Option<Name> {
         let fleet = self.fleet.borrow();
         fleet.get(host).map(|m| m.peer_addr.clone())
