--- a/src/front/body.rs
+++ b/src/front/body.rs
@@ -57,7 +57,7 @@
 
 /// Returns the next item of `rx`, or `None` once the receiver of `tx` is dropped. Otherwise a
 /// caller that disconnects while its request is queued would only be noticed at the next send, and
-/// its request would stay queued and run for no one.
+/// its request would stay queued and run although nobody receives the answer.
 pub(crate) async fn recv_while_open<T, U>(
     rx: &mut mpsc::Receiver<T>,
     tx: &mpsc::Sender<U>,
--- a/src/log/claimant.rs
+++ b/src/log/claimant.rs
@@ -128,7 +128,7 @@
 struct Task<L> {
     group: Group<L, SystemTimer>,
     window: Duration,
-    /// When the last group was appended, or the last attempt was made to reach the log.
+    /// Time of the last append, or of the last attempt to reach the log.
     last_attempt: Option<Instant>,
 }
 
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Returns the next message, or `None` when the log is due to be tried or records are due to be
-    /// appended.
+    /// Returns the next message, or `None` when it is time to try a log that is down or to append
+    /// queued records.
     async fn next(&self, rx: &mut mpsc::Receiver<Msg>) -> Result<Option<Msg>, Stopped> {
         let wait = match (self.group.is_down(), self.group.has_queued()) {
             (true, _) => self.remaining(PROBE_INTERVAL),
--- a/src/log/group.rs
+++ b/src/log/group.rs
@@ -143,9 +143,9 @@
         true
     }
 
-    /// Whether the group can be appended without reading first, which saves a call: reading back
-    /// decides in any case. Not if a key is held by another claim, since it may have been released
-    /// or completed in the meantime.
+    /// Whether the group can be appended without reading first, which saves a call: the read after
+    /// the append decides in any case. A key held by another claim must be read first, since it may
+    /// have been released or completed in the meantime.
     fn can_append_without_reading(&self, group: &[PendingClaim]) -> bool {
         let free = |p: &PendingClaim| self.slot.status(&p.claim.key) == KeyStatus::Free;
         let covered = |p: &PendingClaim| self.slot.covers(p.key_ms);
--- a/src/peers/compression.rs
+++ b/src/peers/compression.rs
@@ -1,4 +1,4 @@
-//! Compression of records sent between routers: the lines of a configuration are much alike.
+//! Compression of records sent between routers: the routes of a configuration are similar.
 
 use std::io::{self, Read, Write};
 
@@ -11,7 +11,7 @@
 /// refused.
 const MAX_BYTES: u64 = 16 << 20;
 
-/// Compresses `record`. A configuration of a thousand routes shrinks to a few hundredths of its
+/// Compresses `record`. A configuration of a thousand routes shrinks to a few percent of its
 /// size.
 pub(crate) fn compress(record: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
--- a/src/serve/home/suspects.rs
+++ b/src/serve/home/suspects.rs
@@ -51,7 +51,7 @@
 }
 
 impl RunningSuspect {
-    /// Whether no other suspect is running there.
+    /// Whether no other suspect is running at the upstream.
     fn is_sole(&self) -> bool {
         self.state.borrow().running.get(&self.upstream) == Some(&1)
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Whether a refusal says that the request is quarantined.
+/// Whether the request was refused because it is quarantined.
 pub(crate) fn is_quarantined(refused: &peer::Refusal) -> bool {
     refused.cause.parse() == Ok(Cause::Quarantined)
 }
--- a/src/serve/peers/join.rs
+++ b/src/serve/peers/join.rs
@@ -1,7 +1,7 @@
 //! Fetches the membership from a running router at start.
 //!
 //! The platform's list may contain dead hosts and lack new ones. Without the fetch, a new router
-//! would take dead hosts for homes until its own probes to them fail, one after the other.
+//! would use dead hosts as homes until its own probes to them fail, one after the other.
 
 use std::time::Duration;
 
--- a/src/serve/route/once.rs
+++ b/src/serve/route/once.rs
@@ -172,8 +172,8 @@
         match self.ctx.claims.lookup(&claim.key, at_ms).await {
             Ok(status @ KeyStatus::Done(..)) => self.answer_resend(&claim, status),
             _ => Err(outcome_unknown(
-                "the router named in this key gave no answer and no outcome was found on the log: it \
-                 is unknown whether the request ran",
+                "the router named in this key gave no answer and no outcome was found on the log: \
+                 it is unknown whether the request ran",
             )),
         }
     }
@@ -305,7 +305,7 @@
     }
 
     /// Returns the refusal for a key that another router claimed. Past the latest time at which the
-    /// holder's run can end, the holder is taken for dead.
+    /// holder's run can end, the holder is presumed dead.
     fn still_running(&self, holder: &Claim) -> peer::Refusal {
         let begun_ms = uuid_ms(&holder.id).unwrap_or(0);
         let ends_ms = begun_ms + holder.run_ms + RUN_GRACE_MS + claims::CLOCK_MARGIN_MS;
--- a/src/serve/route/placer.rs
+++ b/src/serve/route/placer.rs
@@ -195,7 +195,7 @@
         .detach();
     }
 
-    /// Records a chat's location; returns whether it was there before.
+    /// Stores a chat's location; returns whether the stored upstream is unchanged.
     fn store_location(&self, chat: ChatKey, location: ChatLocation) -> bool {
         let chats = &mut self.state.borrow_mut().chats;
         let before = chats.get(chat).map(|l| l.upstream.clone());
@@ -273,7 +273,7 @@
             if is_excluded(slots) || state.ejector.is_ejected(&slots.name, now_ms) {
                 return f64::INFINITY;
             }
-            // An unknown load is taken as the mean, not as idle.
+            // An unknown load counts as the mean, not as zero.
             let Some(load) = self.loads.get(&slots.name) else {
                 return mean_ms;
             };
